--- a/lilacfront/recovery/__init__.py
+++ b/lilacfront/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What a front end keeps over a power loss, what of it counts afterwards, and how service returns."""
+"""Recovery from a power loss: durable state, its exchange with peers, and staged admission of requests."""
--- a/lilacfront/recovery/admission.py
+++ b/lilacfront/recovery/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests while service returns: by stage, and with times to come back."""
+"""Admission control during recovery: by stage, with a Retry-After time in each rejection."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 from lilacfront.sched import Loop
 
 log = Log(__name__)
-MAY_HAVE_RUN_DETAIL = b"it was out when this front end was lost, and may have run"  # sent to clients
+MAY_HAVE_RUN_DETAIL = b"it was out when this front end was lost, and may have run"  # answer to clients
 _US_PER_S = 1e6
 _MS_PER_S = 1000
 
 
-def _priority_density(spec: RequestClass) -> float:
-    return spec.priority_weight / max(1, spec.latency_objective_us * spec.threads)
+def _priority_density(request_class: RequestClass) -> float:
+    """Priority weight of a class per unit of its thread time."""
+    return request_class.priority_weight / max(1, request_class.latency_objective_us * request_class.threads)
 
 
 class RecoveryAdmission(AdmissionPolicy):
-    """Rejects requests whose stage has not come, and loads that may have run before a power loss."""
+    """Rejects requests whose stage has not begun, and loads that may have run before a power loss."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         )
 
     def admission_answer(self, request: Request) -> FinalAnswer | None:
-        """The final answer to a request that can't be served now, or never again; None for all others."""
+        """Final answer to a request that is rejected now or must not be sent again; None to admit it."""
         now = self._loop.now
         class_index = request.class_index
         is_load = self._classes[class_index].idempotency is Idempotency.NOT_IDEMPOTENT
@@ -76,7 +77,7 @@
         return Rejected(self._schedule_ms(request, cost))
 
     def retry_after_ms(self, request: Request, proposed_ms: int) -> int:
-        """What a rejection by the request router tells: a slot while service returns, its own wait later."""
+        """Retry-After of a rejection by the request router; `proposed_ms` once recovery has ended."""
         if self._stages.stage is RecoveryStage.OPEN or self._retry_after.max_retry_after_s <= 0:
             return proposed_ms
         return self._schedule_ms(request, self._thread_time_s(request.class_index))
@@ -89,7 +90,7 @@
         """Record that a load has its final answer."""
         started_at = self._journal.state.started_loads.get(request.call_id)
         if started_at is not None and started_at < self._stages.started_at:
-            return  # an attempt before the power loss may still run
+            return  # an attempt from before the power loss may still be running
         self._journal.record(LoadFinishedRecord(request.call_id))
 
     def _schedule_ms(self, request: Request, cost: float) -> int:
@@ -100,12 +101,12 @@
         return round(_MS_PER_S * wait_s)
 
     def _thread_time_s(self, class_index: int) -> float:
-        """Thread-seconds that a request of a class takes."""
+        """Estimated thread-seconds that a request of the class takes."""
         estimate = self._router.state.class_estimates[class_index]
         threads = self._classes[class_index].threads
         return (estimate.uncrowded_run_time_us or estimate.run_time_us) / _US_PER_S * threads
 
     def _capacity_at(self, at: float) -> float:
-        """Thread-seconds a second that this front end may use at a time."""
+        """Thread-seconds per second that this front end may use at the time `at`."""
         fraction = self._warm_up(at) if self._stages.fleet_outage else 1.0
         return self._host.ready_cores() * fraction / max(1, self._host.gateway_count())
--- a/lilacfront/recovery/capacity_slots.py
+++ b/lilacfront/recovery/capacity_slots.py
@@ -1,7 +1,8 @@
-"""Capacity of the near future in slots: what was promised to rejected clients and what was admitted. No I/O.
+"""Time slots of near-future capacity, with reservations for retries and admitted requests. No I/O.
 
-Costs are thread-seconds. A promise occupies its slot only as far as promises were kept of late: clients that
-hammer, each time under a new id, would else occupy all slots and never be admitted.
+Costs are in thread-seconds. Outstanding reservations are weighted by the fraction of recent reservations
+that were claimed. Otherwise clients that retry too often and use a new id for each retry would reserve all
+slots and never be admitted.
 """
 
 from __future__ import annotations
@@ -9,78 +10,78 @@
 from collections.abc import Callable
 from typing import Final
 
-SLOT_S: Final = 0.05
-SHARED_FRACTION: Final = 0.7  # of a slot that requests without precedence may fill
-MAX_SPREAD_SLOTS: Final = 40  # that one request may occupy; the last one bears the rest
-SETTLE_S: Final = 0.2  # after a slot, until its promises count as kept or broken
-DECAY_PER_SLOT: Final = 0.9  # of the record of kept promises
-INITIAL_TRUST: Final = 0.05  # thread-seconds of promises that count as kept in advance
-ROUNDING: Final = 1e-9
+SLOT_S: Final = 0.05  # seconds covered by one slot
+SHARED_FRACTION: Final = 0.7  # part of a slot's capacity that requests without precedence may use
+MAX_SPREAD_SLOTS: Final = 40  # slots over which one cost is spread before the rest goes into the next slot
+RESERVATION_GRACE_S: Final = 0.2  # seconds after a slot before its reservations count as claimed or unclaimed
+DECAY_PER_SLOT: Final = 0.9  # factor applied to the reserved and claimed sums for each past slot
+COMPLIANCE_PRIOR: Final = 0.05  # thread-seconds added to both sums, so that compliance starts at 1
+ROUNDING_TOLERANCE: Final = 1e-9  # thread-seconds
 
 
-def slot_of(at: float) -> int:
-    """Number of the slot that holds a moment."""
+def slot_number(at: float) -> int:
+    """Number of the slot that contains the time `at`."""
     return int(at / SLOT_S)
 
 
 class CapacitySlots:
-    """Slots of `SLOT_S` seconds, each with the thread time that this front end may use in it."""
+    """Slots of `SLOT_S` seconds, each with a capacity in thread-seconds."""
 
     def __init__(self, capacity_at: Callable[[float], float]) -> None:
-        """Make empty slots; `capacity_at` tells the thread-seconds a second that may be used at a time."""
+        """Create empty slots; `capacity_at` returns the usable thread-seconds per second at a given time."""
         self._capacity_at = capacity_at
-        self._promised: dict[int, float] = {}
-        self._claimed: dict[int, float] = {}  # of the promised cost, what came
+        self._reserved: dict[int, float] = {}
+        self._claimed: dict[int, float] = {}  # reserved cost whose request was retried
         self._admitted: dict[int, float] = {}
-        self._settled_due = 0.0  # promised cost of past slots, decaying
-        self._settled_claimed = 0.0
-        self._settled_until = 0
+        self._past_reserved = 0.0  # decaying sum of the cost reserved in past slots
+        self._past_claimed = 0.0  # decaying sum of the cost claimed in past slots
+        self._first_open_slot = 0
 
     @property
     def compliance(self) -> float:
-        """The fraction of the recent promises that was kept; 1 until some have fallen due."""
-        return min(1.0, (self._settled_claimed + INITIAL_TRUST) / (self._settled_due + INITIAL_TRUST))
+        """Fraction of the cost reserved in recent past slots that was claimed; 1 at the start."""
+        return min(1.0, (self._past_claimed + COMPLIANCE_PRIOR) / (self._past_reserved + COMPLIANCE_PRIOR))
 
-    def has_room(self, slot: int, precedence: bool, cost: float) -> bool:
-        """Whether a request fits into a slot; one with precedence may fill it to the end."""
+    def has_capacity(self, slot: int, precedence: bool, cost: float) -> bool:
+        """Whether a request fits into a slot; with precedence it may use the whole capacity."""
         fraction = 1.0 if precedence else SHARED_FRACTION
         capacity = self._capacity_at(slot * SLOT_S) * SLOT_S * fraction
-        outstanding = max(0.0, self._promised.get(slot, 0.0) - self._claimed.get(slot, 0.0))
+        outstanding = max(0.0, self._reserved.get(slot, 0.0) - self._claimed.get(slot, 0.0))
         free = capacity - self._admitted.get(slot, 0.0) - self.compliance * outstanding
-        return 0.0 < min(cost, capacity) <= free + ROUNDING
+        return 0.0 < min(cost, capacity) <= free + ROUNDING_TOLERANCE
 
-    def promise(self, slot: int, cost: float) -> None:
-        """Reserve capacity from a slot on for a client that is told to come back then."""
-        self._occupy(self._promised, slot, cost)
+    def reserve(self, slot: int, cost: float) -> None:
+        """Reserve capacity, starting at a slot, for a request that should be retried then."""
+        self._add_cost(self._reserved, slot, cost)
 
-    def claim(self, slot: int, cost: float) -> None:
-        """Note that the client of a promise came."""
+    def claim_reservation(self, slot: int, cost: float) -> None:
+        """Record that a request with a reservation in this slot was retried."""
         self._claimed[slot] = self._claimed.get(slot, 0.0) + cost
 
     def admit(self, slot: int, cost: float) -> None:
-        """Occupy capacity from a slot on for a request that runs."""
-        self._occupy(self._admitted, slot, cost)
+        """Use capacity, starting at a slot, for an admitted request."""
+        self._add_cost(self._admitted, slot, cost)
 
-    def settle(self, now: float) -> None:
-        """Drop the slots gone by and count which of their promises were kept."""
-        until = int((now - SETTLE_S) / SLOT_S)
-        if until <= self._settled_until:
+    def expire_slots(self, now: float) -> None:
+        """Drop past slots and add their reserved and claimed costs to the decaying sums."""
+        until = int((now - RESERVATION_GRACE_S) / SLOT_S)
+        if until <= self._first_open_slot:
             return
-        for slot in sorted(slot for slot in self._promised if slot < until):
-            self._settled_due = DECAY_PER_SLOT * self._settled_due + self._promised.pop(slot)
-            self._settled_claimed = DECAY_PER_SLOT * self._settled_claimed + self._claimed.pop(slot, 0.0)
+        for slot in sorted(slot for slot in self._reserved if slot < until):
+            self._past_reserved = DECAY_PER_SLOT * self._past_reserved + self._reserved.pop(slot)
+            self._past_claimed = DECAY_PER_SLOT * self._past_claimed + self._claimed.pop(slot, 0.0)
         for slot in [slot for slot in self._admitted if slot < until]:
             del self._admitted[slot]
-        self._settled_until = until
+        self._first_open_slot = until
 
-    def _occupy(self, slots: dict[int, float], slot: int, cost: float) -> None:
-        """Occupy a cost from a slot on; what exceeds the slot's capacity goes into the next ones."""
+    def _add_cost(self, slots: dict[int, float], slot: int, cost: float) -> None:
+        """Add a cost to a slot; a cost beyond the slot's free capacity is spread over the next slots."""
         for _ in range(MAX_SPREAD_SLOTS):
             free = self._capacity_at(slot * SLOT_S) * SLOT_S - slots.get(slot, 0.0)
             part = max(0.0, min(cost, free))
             slots[slot] = slots.get(slot, 0.0) + part
             cost -= part
-            if cost <= ROUNDING:
+            if cost <= ROUNDING_TOLERANCE:
                 return
             slot += 1
         slots[slot] = slots.get(slot, 0.0) + cost
--- a/lilacfront/recovery/coordinator.py
+++ b/lilacfront/recovery/coordinator.py
@@ -1,4 +1,4 @@
-"""Recovery of one front end from a power loss, on its loop: connects the parts of this package."""
+"""Coordinator of one front end's recovery from a power loss; runs on the event loop of the server."""
 
 from __future__ import annotations
 
@@ -31,15 +31,15 @@
 from lilacfront.sched import Loop, Task
 
 log = Log(__name__)
-RECOVERING_PERIOD_S: Final = 0.02  # between two steps while service is not fully open
-OPEN_PERIOD_S: Final = 0.1
-ESTIMATES_PERIOD_S: Final = 5.0  # between two records of execution times
+RECOVERY_STEP_PERIOD_S: Final = 0.02  # seconds between two steps before the stage OPEN
+OPEN_STEP_PERIOD_S: Final = 0.1  # seconds between two steps in the stage OPEN
+ESTIMATES_PERIOD_S: Final = 5.0  # seconds between two records of execution times
 
 
 class RecoveryCoordinator:
-    """Restores state, exchanges it with peers, opens service in stages and keeps the journal.
+    """Restores state, exchanges it with peers, opens service in stages and writes the journal.
 
-    The server makes it before it serves anything and reports to it what is to be recorded.
+    The server creates the coordinator before it serves requests and passes it each change to record.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         seed: int,
         host: RecoveryHost,
     ) -> None:
-        """Start to restore the state of the front end `name` and set the dispatcher's admission policy."""
+        """Start restoring the state of the front end `name` and set the dispatcher's admission policy."""
         self.loop = loop
         self.settings = settings
         self._host = host
@@ -68,25 +68,25 @@
 
     @property
     def restored(self) -> bool:
-        """Whether the restore has ended, or is waited for no longer."""
+        """Whether the restore has ended or timed out."""
         return self._journal.restored
 
     @property
     def unavailable(self) -> bool:
-        """Whether no request at all is served yet."""
+        """Whether the current stage serves no requests."""
         return self._stages.stage < RecoveryStage.SHORT_READS
 
-    def status_note(self) -> str:
-        """What the admin command STATUS says of recovery; empty where there is nothing to say."""
+    def status_suffix(self) -> str:
+        """Text on recovery to append to the answer of the admin command STATUS; may be empty."""
         stage = self._stages.stage
-        note = "" if stage is RecoveryStage.OPEN else f"; recovery: {stage.label}"
+        suffix = "" if stage is RecoveryStage.OPEN else f"; recovery: {stage.label}"
         if self._stages.endpoints_stale:
-            note += f"; list stale, as of event {self._host.endpoint_list_seq()}"
+            suffix += f"; list stale, as of event {self._host.endpoint_list_seq()}"
         if self._journal.failure:
-            note += f"; nothing is kept: {self._journal.failure}"
-        return note
+            suffix += f"; nothing is kept: {self._journal.failure}"
+        return suffix
 
-    # ---- what is recorded -----------------------------------------------------------------------------
+    # ---- journal records ------------------------------------------------------------------------------
     def record_endpoints(self, seq: int, update: EndpointUpdate) -> None:
         """Record an update of the endpoint list at event `seq` of the change log."""
         entries = tuple(
@@ -96,7 +96,7 @@
         self._exchange.invalidate()
 
     def reset_change_log(self) -> None:
-        """Record that the change log numbers its events from 1 again."""
+        """Record that the change log has restarted its event numbers at 1."""
         self._journal.record(ChangeLogResetRecord())
 
     def record_directive(self, directive: OperatorDirective) -> None:
@@ -104,28 +104,28 @@
         self._journal.record(DirectiveRecord(directive))
         self._exchange.invalidate()
 
-    # ---- the run --------------------------------------------------------------------------------------
+    # ---- periodic steps -------------------------------------------------------------------------------
     def join_peers(self, members: MembershipService) -> None:
-        """Exchange state in the messages of the membership protocol."""
+        """Exchange state with peers in the messages of the membership protocol."""
         self._members = members
         members.integration.next_piggyback = self._exchange
         self._raise_incarnation()
 
     def run(self, task: Task) -> None:
-        """Do everything that is due, again and again; never returns."""
+        """Run a step and send its messages periodically; never returns."""
         while True:
             try:
                 messages = self.step()
                 if messages and self._members is not None:
                     self._members.send_all(messages)
             except Exception:
-                # Whatever was restored or received, service must return.
+                # Restored or received data must not keep service from returning.
                 log.exception("recovery step failed")
             opened = self._stages.stage is RecoveryStage.OPEN
-            self.loop.sleep(task, self.loop.now + (OPEN_PERIOD_S if opened else RECOVERING_PERIOD_S))
+            self.loop.sleep(task, self.loop.now + (OPEN_STEP_PERIOD_S if opened else RECOVERY_STEP_PERIOD_S))
 
     def step(self) -> list[OutgoingDatagram]:
-        """Do everything that is due now; returns messages to peers."""
+        """Poll the restore, advance the stage and write the journal; returns messages to peers."""
         self._check_restore()
         self._advance_stage()
         if self._endpoints.restricted and self._host.endpoints_confirmed():
@@ -137,7 +137,7 @@
             return []
         now = self.loop.now
         detector = self._members.detector
-        requests = self._exchange.retries_due(now)
+        requests = self._exchange.collect_retries(now)
         return [message for peer, item in requests for message in detector.send_item(now, peer, item)]
 
     def close(self) -> None:
@@ -145,7 +145,7 @@
         self._journal.close()
 
     def _check_restore(self) -> None:
-        """Use a result of the restore, also one that comes after the timeout."""
+        """Apply a result of the restore, even after the timeout; without a result, check the timeout."""
         result = self._journal.poll_restore()
         if result is not None:
             self._finish_restore(result)
@@ -156,7 +156,7 @@
             self._finish_restore(RestoreResult(None))
 
     def _finish_restore(self, result: RestoreResult) -> None:
-        """Put the restored state into force, as far as it is trusted."""
+        """Apply the restored state: newer endpoints, directives, recent estimates and the incarnation."""
         list_is_newer = self._journal.finish_restore(result, self._host.endpoint_list_seq())
         state = self._journal.state
         if list_is_newer:
@@ -170,7 +170,7 @@
         self._exchange.invalidate()
 
     def _raise_incarnation(self) -> None:
-        """Outdo every incarnation that this front end may have had."""
+        """Raise the incarnation above every earlier one of this front end."""
         if self._members is not None:
             self._members.detector.raise_incarnation(self._journal.state.incarnation + 1)
 
@@ -187,7 +187,7 @@
         )
         first_served = previous < RecoveryStage.SHORT_READS <= stages.stage
         if first_served and stages.fleet_outage and self._journal.state.endpoints:
-            # An engine that lost its power, too, is cold, whatever an old list says.
+            # Engines that also lost power are cold, but the restored list still has their old start times.
             self._endpoints.mark_restarted(stages.started_at)
             self._apply_endpoints()
 
@@ -205,7 +205,7 @@
         self._host.apply_endpoints(self._endpoints.update(self._journal.state))
 
     def _write_journal(self) -> None:
-        """Record what changes without notice, and write a checkpoint where one is needed."""
+        """Record values that are polled for changes, and write a checkpoint if the writer needs one."""
         now = self.loop.now
         if self._members is not None:
             incarnation = self._members.detector.incarnation
--- a/lilacfront/recovery/durable_state.py
+++ b/lilacfront/recovery/durable_state.py
@@ -1,8 +1,8 @@
-"""The state that survives a power loss, as the sum of the journal's records. No I/O.
+"""State that survives a power loss, built by applying the records of the journal. No I/O.
 
 Applying a record twice, or an older record after a newer one, changes nothing: directives are ordered by
-their numbers, endpoint lists by theirs, and incarnations only rise. So a journal may be replayed again from
-any earlier point.
+revision, endpoint lists by event number, and incarnations only rise. A journal may therefore be replayed
+again from any earlier point.
 """
 
 from __future__ import annotations
@@ -28,34 +28,34 @@
     PeerDirectiveRecord,
 )
 
-MAX_LOADS: Final = 65_536  # ids of loads that may have run; the oldest are dropped
-LOAD_TTL_S: Final = 3600.0
-MAX_PEER_DIRECTIVES: Final = 16_384  # replicas kept for all peers together
-MAX_ENDPOINTS: Final = 65_536
-ESTIMATES_TTL_S: Final = 60.0
+MAX_LOADS: Final = 65_536  # call ids of loads that may have run; the oldest are dropped
+LOAD_TTL_S: Final = 3600.0  # seconds after which a load no longer counts as possibly run
+MAX_PEER_DIRECTIVES: Final = 16_384  # replicated directives of all peers together
+MAX_ENDPOINTS: Final = 65_536  # further endpoints are ignored
+ESTIMATES_TTL_S: Final = 60.0  # seconds after which restored estimates are ignored
 LIFECYCLE_GONE: Final = "gone"
 
 
 @dataclass(frozen=True, slots=True)
 class AgedEstimates:
-    """Restored execution times of the request classes and how old they are."""
+    """Restored execution times of the request classes, and their age."""
 
     classes: tuple[LearnedClass, ...]
     age_s: float
 
 
 class DurableState:
-    """Everything that is restored after a power loss, as of the last record applied.
+    """The state after the last applied record.
 
     Attributes:
-        list_seq: Number of the change log's event that `endpoints` reflect.
+        list_seq: Number of the last change log event that `endpoints` includes.
         endpoints: Entries of the endpoint list, by instance id.
-        directives: Directives of operators to this front end, by name.
-        peer_directives: Replicas of directives to peers, by the peer's number and by name.
-        started_loads: When each load that may have run was sent, in Unix seconds, by call id.
-        incarnation: Highest incarnation of this front end.
-        class_estimates: Last recorded execution times of the request classes.
-        shut_down_cleanly: Whether the process that wrote the last record ended by a graceful shutdown.
+        directives: Operators' directives to this front end, by target.
+        peer_directives: Replicas of the directives to peers, by the peer's number and by target.
+        started_loads: Loads that may have run: the time of sending in Unix seconds, by call id.
+        incarnation: Highest recorded incarnation of this front end.
+        class_estimates: The last record of the request classes' execution times.
+        shut_down_cleanly: The process that wrote the last record ended with a graceful shutdown.
     """
 
     def __init__(self) -> None:
@@ -69,7 +69,7 @@
         self.shut_down_cleanly = False
 
     def apply(self, record: AnyRecord) -> None:
-        """Change the state by one record."""
+        """Apply one record."""
         if not isinstance(record, JournalHeader | CleanShutdownRecord):
             self.shut_down_cleanly = False
         match record:
@@ -105,7 +105,7 @@
     def _apply_peer_directive(self, owner: int, directive: OperatorDirective) -> None:
         full = sum(map(len, self.peer_directives.values())) >= MAX_PEER_DIRECTIVES
         replicas = self.peer_directives.setdefault(owner, {})
-        # A peer that invents ever new names must not exhaust memory.
+        # A peer that keeps sending directives for new targets must not exhaust the memory.
         if directive.target in replicas or not full:
             merge_directives(replicas, [directive])
 
@@ -118,7 +118,7 @@
             del self.started_loads[next(iter(self.started_loads))]
 
     def checkpoint(self) -> Iterator[AnyRecord]:
-        """Records that rebuild the same state from an empty one."""
+        """Yield records that rebuild this state from an empty one."""
         yield EndpointListRecord(self.list_seq, True, tuple(self.endpoints.values()))
         for directive in self.directives.values():
             yield DirectiveRecord(directive)
@@ -134,20 +134,20 @@
             yield CleanShutdownRecord()
 
     def may_have_run(self, call_id: bytes, now: float) -> bool:
-        """Whether a load with this id was sent less than `LOAD_TTL_S` ago and has no final answer."""
+        """Whether the load with this id was sent less than `LOAD_TTL_S` ago and has no final answer."""
         started_at = self.started_loads.get(call_id)
-        # A clock that was set back makes ages negative; the load may have run all the same.
+        # After the clock was set back the age is negative; such a load also counts as possibly run.
         return started_at is not None and now - started_at < LOAD_TTL_S
 
     def recent_estimates(self, now: float) -> AgedEstimates | None:
-        """Execution times of the classes, unless they are too old or the clock was set back."""
+        """Recorded execution times, or None if they are too old or the clock was set back."""
         recorded = self.class_estimates
         if recorded is None or not 0.0 <= now - recorded.recorded_at <= ESTIMATES_TTL_S:
             return None
         return AgedEstimates(recorded.classes, now - recorded.recorded_at)
 
     def endpoint_update(self, min_started_at_ms: float | None = None) -> EndpointUpdate:
-        """The endpoints as a snapshot for discovery; none counts as started before the given time."""
+        """The endpoints as a snapshot for discovery, with start times raised to at least the given time."""
         earliest_ms = min_started_at_ms or 0.0
         endpoints = [
             entry.to_endpoint(max(entry.started_at_ms, earliest_ms)) for entry in self.endpoints.values()
--- a/lilacfront/recovery/host.py
+++ b/lilacfront/recovery/host.py
@@ -1,4 +1,4 @@
-"""What recovery needs of the front end around it."""
+"""Interface through which recovery reads and changes the front end."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class RecoveryHost(Protocol):
-    """The parts of a front end that recovery reads and acts on; all methods are called on its loop."""
+    """The front end as seen by recovery; all methods are called on its event loop."""
 
     def endpoint_list_seq(self) -> int:
-        """Number of the change log's event that the endpoint list in use reflects."""
+        """Number of the last change log event that the endpoint list in use includes."""
         ...
 
     def endpoints_confirmed(self) -> bool:
@@ -21,11 +21,11 @@
         ...
 
     def apply_endpoints(self, update: EndpointUpdate) -> None:
-        """Use this endpoint list until the change log delivers another."""
+        """Use this endpoint list until the change log delivers a newer one."""
         ...
 
     def resume_change_log(self, seq: int) -> None:
-        """Ask the change log for the events after this one."""
+        """Request the events after event `seq` from the change log."""
         ...
 
     def adopt_directives(self, directives: Iterable[OperatorDirective]) -> None:
@@ -33,15 +33,15 @@
         ...
 
     def export_learned_state(self) -> LearnedState:
-        """What the request router has learned."""
+        """Estimates that the request router has learned."""
         ...
 
     def import_learned_state(self, learned: LearnedState, age_s: float) -> None:
-        """Have the request router start from what another process learned."""
+        """Initialize the request router with estimates that another process learned, `age_s` seconds old."""
         ...
 
     def ready_cores(self) -> float:
-        """Cores of the engines that are ready."""
+        """Total number of cores of the ready engines."""
         ...
 
     def gateway_count(self) -> int:
--- a/lilacfront/recovery/journal.py
+++ b/lilacfront/recovery/journal.py
@@ -1,4 +1,4 @@
-"""The durable state of a running front end and its way to the disk."""
+"""Journal of a running front end: keeps the durable state in memory and has its changes written."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 class RecoveryJournal:
-    """Restores the durable state, applies records to it and has them written.
+    """Restores the durable state, applies records to it and passes them to the writer thread.
 
     Attributes:
-        state: The state as of the last record.
-        restored: The restore has ended; the files may be unusable all the same.
-        planned_restart: Nothing indicates a power loss.
+        state: The state after the last record.
+        restored: The restore has ended or timed out, successfully or not.
+        planned_restart: The last process shut down gracefully or is still running.
     """
 
     def __init__(self, settings: RecoverySettings, name: str) -> None:
-        """Start to read the store of the front end `name`."""
+        """Start reading the store of the front end `name`."""
         self.state = DurableState()
         self.restored = False
         self.planned_restart = False
@@ -36,36 +36,36 @@
 
     @property
     def failure(self) -> str:
-        """Why nothing can be written now; empty while writing works."""
+        """Why the store can't be used at present; empty while it works."""
         return self._writer.failure
 
     @property
     def open(self) -> bool:
-        """Whether records are written."""
+        """Whether records are passed to the writer."""
         return self.restored and self._writable and not self._closed
 
     def record(self, record: AnyRecord) -> None:
-        """Apply a record and have it written."""
+        """Apply a record and queue it for writing."""
         self.state.apply(record)
-        # Written before the restore ends, it would take the place of what the store holds.
+        # Before the restore ends, writing could replace state that has not been read yet.
         if self.restored and self._writable:
             self._writer.append(record)
 
     def poll_restore(self) -> RestoreResult | None:
-        """A result of the restore, if there is a new one; never waits."""
+        """A new result of the restore, or None; does not block."""
         if self._writer.restored.empty():
             return None
         return self._writer.restored.get()
 
     def finish_restore(self, result: RestoreResult, list_seq: int) -> bool:
-        """Go on from the restored state, with the records since the start applied to it.
+        """Replace the state by the restored one and apply the changes since the start to it.
 
         Args:
-            result: What the store holds.
-            list_seq: Number of the event that the endpoint list in use reflects.
+            result: The result of the restore.
+            list_seq: Number of the last event that the endpoint list in use includes.
 
         Returns:
-            Whether the restored endpoint list is newer than that.
+            Whether the restored endpoint list is newer than the one in use.
         """
         self._writable = result.state is not None
         state = result.state or DurableState()
@@ -88,16 +88,16 @@
         return is_newer
 
     def write_checkpoint_if_needed(self) -> None:
-        """Hand the writer the whole state where it asks for that."""
+        """Write a checkpoint of the whole state if the writer needs one."""
         if self._writer.needs_checkpoint:
             self._writer.write_checkpoint(list(self.state.checkpoint()))
 
     def close(self) -> None:
-        """Record a graceful shutdown and wait a little until everything is written."""
+        """Record a graceful shutdown and wait for the writer, at most `CLOSE_TIMEOUT_S`."""
         if not (self.restored and self._writable):
             return
-        began_at = time.monotonic()
+        started_at = time.monotonic()
         self.record(CleanShutdownRecord())
         self._closed = True
         self._writer.close()
-        log.info("recovery store closed", seconds=round(time.monotonic() - began_at, 3))
+        log.info("recovery store closed", seconds=round(time.monotonic() - started_at, 3))
--- a/lilacfront/recovery/journal_file.py
+++ b/lilacfront/recovery/journal_file.py
@@ -1,4 +1,4 @@
-"""The form of one journal file: a magic line, then records in frames with checksums. No I/O."""
+"""Format of a journal file: a magic line, then records in frames with checksums. No I/O."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 )
 
 MAGIC: Final = b"lilacfront-recovery\n"
-MAX_RECORD_BYTES: Final = 64 << 20  # a list of 65,536 engines takes some 10 MB
+MAX_RECORD_BYTES: Final = 64 << 20  # a list of 65,536 engines takes about 10 MB
 _FRAME_HEADER: Final = struct.Struct(">II")  # length, CRC-32 of length and record
 _LENGTH_BYTES: Final = 4
-_MAX_OWNER_CHARACTERS: Final = 40  # of a foreign name in an error message
+_MAX_OWNER_CHARACTERS: Final = 40  # limit for names in error messages
 
 
 class StoreError(LilacfrontError):
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalContents:
-    """What one journal file holds.
+    """Decoded contents of one journal file.
 
     Attributes:
-        records: All records up to the first damaged one, the header first.
-        damage: What is wrong behind them; empty for a complete file.
+        records: The header and all records before the first damaged one.
+        damage: Description of the first damage; empty for an intact file.
     """
 
     records: list[AnyRecord]
@@ -44,14 +44,14 @@
 
 
 def encode_frame(record: bytes) -> bytes:
-    """Put an encoded record into a frame."""
+    """Wrap an encoded record in a frame."""
     size = len(record).to_bytes(_LENGTH_BYTES, "big")
     checksum = zlib.crc32(record, zlib.crc32(size))
     return size + checksum.to_bytes(4, "big") + record
 
 
 def split_frames(data: bytes) -> tuple[list[bytes], int]:
-    """Records of the frames up to the first damaged or incomplete one, and the offset at which it begins."""
+    """Split data into records; returns those before the first damaged frame, and the offset of that frame."""
     records: list[bytes] = []
     offset = 0
     while offset + _FRAME_HEADER.size <= len(data):
@@ -77,18 +77,18 @@
     if not isinstance(record, JournalHeader):
         raise StoreError("no header")
     if record.version != FORMAT_VERSION:
-        raise StoreError(f"of version {record.version}, not {FORMAT_VERSION}")
+        raise StoreError(f"format version {record.version}, expected {FORMAT_VERSION}")
     if record.name != name:
-        raise StoreError(f"of another front end, {record.name[:_MAX_OWNER_CHARACTERS]!r}")
+        raise StoreError(f"belongs to another front end, {record.name[:_MAX_OWNER_CHARACTERS]!r}")
     if record.site != site:
-        raise StoreError(f"of another site, {record.site[:_MAX_OWNER_CHARACTERS]!r}")
+        raise StoreError(f"belongs to another site, {record.site[:_MAX_OWNER_CHARACTERS]!r}")
 
 
 def decode_journal(data: bytes, name: str, site: str) -> JournalContents:
     """Decode one journal file of the front end `name` at `site`.
 
     Raises:
-        StoreError: The file is no journal, of another version, or of another front end or site.
+        StoreError: The file is not a journal, or belongs to another version, front end or site.
     """
     if not data.startswith(MAGIC):
         raise StoreError("not a recovery journal")
--- a/lilacfront/recovery/journal_writer.py
+++ b/lilacfront/recovery/journal_writer.py
@@ -1,4 +1,4 @@
-"""The thread that restores the state once and writes the journal from then on; the loop never waits."""
+"""Background thread that restores the state and writes the journal, so that the event loop never blocks."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 from lilacfront.recovery.store import Store, StoreLockedError
 
 log = Log(__name__)
-MAX_QUEUED_RECORDS: Final = 16_384  # with more of them a checkpoint takes their place
-CHECKPOINT_RETRY_S: Final = 1.0
-LOCK_RETRY_S: Final = 0.2
-CLOSE_TIMEOUT_S: Final = 0.5
-RESTORE_FAILURE: Final = "what was kept could not be read"  # shown by the admin command STATUS
+MAX_QUEUED_RECORDS: Final = 16_384  # beyond this a checkpoint replaces the queued records
+CHECKPOINT_RETRY_S: Final = 1.0  # seconds between requests for a checkpoint while the disk fails
+LOCK_RETRY_S: Final = 0.2  # seconds between attempts to lock the store
+CLOSE_TIMEOUT_S: Final = 0.5  # seconds that `close` waits for the queue to be written
+RESTORE_FAILURE: Final = "the stored state could not be read"  # shown by the admin command STATUS
 
 
 @dataclass(slots=True, frozen=True)
 class RestoreResult:
-    """The end of a restore.
+    """Result of a restore.
 
     Attributes:
-        state: What the journals hold; None where they can't be used.
-        locked_by_other_process: Another living process of this front end holds the lock of the store.
+        state: The restored state, or None if the store can't be used.
+        locked_by_other_process: Another running process of this front end has the store locked.
     """
 
     state: DurableState | None
@@ -40,21 +40,22 @@
 
 @dataclass(slots=True, frozen=True)
 class _Checkpoint:
-    """All records of a new generation, in the queue to the disk."""
+    """Queue entry for a new generation that starts with these records."""
 
     records: tuple[AnyRecord, ...]
 
 
 class JournalWriter:
-    """Restores the state once and writes the journal from then on, in a thread of its own.
+    """Restores the state once and then writes the journal, in its own thread.
 
-    The public methods are called on the loop and never wait. What is appended while the disk fails is not
-    lost as long as the process lives: the next checkpoint holds it.
+    The public methods are called on the event loop; only `close` blocks. Records appended while the disk
+    fails are dropped from the queue, but the next checkpoint includes their changes.
 
     Attributes:
-        restored: Receives a `RestoreResult` when the restore ends, and another where the lock comes late.
-        needs_checkpoint: The loop is to call `write_checkpoint`.
-        failure: Why the store can't be used now; empty while it works.
+        restored: Receives a `RestoreResult` at the end of the restore. If another process has the store
+            locked, it receives one at once and a second one after the lock is acquired.
+        needs_checkpoint: The loop must call `write_checkpoint`.
+        failure: Why the store can't be used at present; empty while it works.
     """
 
     def __init__(self, store: Store, write_window_s: float, max_journal_bytes: int) -> None:
@@ -70,30 +71,30 @@
         self._thread.start()
 
     def append(self, record: AnyRecord) -> None:
-        """Queue a record, to be written within the window."""
+        """Queue a record; the thread writes it within `write_window_s`."""
         if self.needs_checkpoint:
-            return  # the coming checkpoint holds it
+            return  # the next checkpoint includes it
         if len(self._queue) >= MAX_QUEUED_RECORDS:
             self.needs_checkpoint = True
             return
         self._queue.append(record)
 
     def write_checkpoint(self, checkpoint: Iterable[AnyRecord]) -> None:
-        """Queue a new generation in place of all records that wait."""
+        """Queue a new generation, which replaces all queued records."""
         self._queue.clear()
         self._queue.append(_Checkpoint(tuple(checkpoint)))
         self.needs_checkpoint = False
 
     def close(self) -> None:
-        """End the thread after it has written the queue; waits for it at most `CLOSE_TIMEOUT_S`."""
+        """Stop the thread once it has written the queue; blocks for at most `CLOSE_TIMEOUT_S`."""
         self._closing.set()
         self._thread.join(CLOSE_TIMEOUT_S)
 
-    # ---- in the thread --------------------------------------------------------------------------------
+    # ---- run in the thread ----------------------------------------------------------------------------
     def _run(self) -> None:
         state = self._restore()
         if state is None:
-            return  # nothing is written in the life of this process
+            return  # this process never writes to the store
         self.restored.put(RestoreResult(state))
         healthy = False
         retry_at = 0.0
@@ -111,26 +112,29 @@
         self.store.close()
 
     def _write_queue(self, healthy: bool) -> bool:
-        """Write everything that waits; returns whether the journal is complete after that."""
+        """Write all queued entries; returns whether the journal is complete afterwards."""
         batch: list[bytes] = []
-        while (entry := self._next()) is not None:
+        while (entry := self._next_entry()) is not None:
             if isinstance(entry, _Checkpoint):
                 batch.clear()
-                healthy = self._attempt(partial(self.store.begin_generation, entry.records))
+                healthy = self._try_write(partial(self.store.begin_generation, entry.records))
             else:
                 batch.append(encode_frame(encode_record(entry)))
         if batch and healthy:
-            healthy = self._attempt(partial(self.store.append, b"".join(batch)))
+            healthy = self._try_write(partial(self.store.append, b"".join(batch)))
         return healthy
 
-    def _next(self) -> AnyRecord | _Checkpoint | None:
+    def _next_entry(self) -> AnyRecord | _Checkpoint | None:
         try:
             return self._queue.popleft()
-        except IndexError:  # empty, or cleared by the loop just now
+        except IndexError:  # the queue is empty, or the loop has just cleared it
             return None
 
     def _restore(self) -> DurableState | None:
-        """Lock the store and read it; while another process holds the lock, the start goes on without."""
+        """Lock the store and read it, reporting a failure in `restored`; None if the store can't be used.
+
+        While another process holds the lock, the start goes on without the state and locking is retried.
+        """
         waiting = False
         while True:
             try:
@@ -144,29 +148,29 @@
                 if self._closing.wait(LOCK_RETRY_S):
                     return None
             except OSError as error:
-                self._fail(error)
+                self._set_failure(error)
                 self.restored.put(RestoreResult(None))
                 return None
             except Exception:
-                # No content of a file may keep the front end from starting.
+                # Invalid file contents must not keep the front end from starting.
                 log.exception("recovery restore failed")
                 self.failure = RESTORE_FAILURE
                 self.restored.put(RestoreResult(None))
                 return None
 
-    def _attempt(self, write: Callable[[], None]) -> bool:
-        """Whether a write to the store succeeded; logs where that changes."""
+    def _try_write(self, write: Callable[[], None]) -> bool:
+        """Run a write to the store; returns whether it succeeded and logs the recovery from a failure."""
         try:
             write()
         except OSError as error:
-            self._fail(error)
+            self._set_failure(error)
             return False
         if self.failure:
             self.failure = ""
             log.warning("recovery store available again", directory=self.store.directory)
         return True
 
-    def _fail(self, error: OSError) -> None:
+    def _set_failure(self, error: OSError) -> None:
         if self.failure != str(error):
             self.failure = str(error)
             log.error("recovery store unavailable", directory=self.store.directory, error=error)
--- a/lilacfront/recovery/peer_state.py
+++ b/lilacfront/recovery/peer_state.py
@@ -1,4 +1,4 @@
-"""The state of a running front end, as it is exchanged with its peers."""
+"""Adapter between the state exchange and the journal of a running front end."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PeerState(ExchangedState):
-    """Reads what is offered to peers from the journal, and uses what they send."""
+    """Reads the state offered to peers from the journal, and applies the state that peers send."""
 
     def __init__(
         self,
@@ -33,11 +33,11 @@
         self._host = host
 
     def stage_number(self) -> int:
-        """The current stage of the start."""
+        """Number of the current recovery stage."""
         return int(self._stages.stage)
 
     def recovering(self) -> bool:
-        """Whether service is not yet fully open."""
+        """Whether the stage `OPEN` has not been reached yet."""
         return self._stages.stage is not RecoveryStage.OPEN
 
     def own_directives(self) -> Iterable[OperatorDirective]:
@@ -45,11 +45,11 @@
         return self._journal.state.directives.values()
 
     def peer_directives(self) -> Mapping[int, Mapping[str, OperatorDirective]]:
-        """Replicas of directives to peers."""
+        """Replicas of the directives to each peer."""
         return self._journal.state.peer_directives
 
     def ready_list(self) -> ReadyList:
-        """The engines that are ready by the durable endpoint list."""
+        """The engines that the durable endpoint list shows as ready."""
         state = self._journal.state
         ready = (
             entry.instance_id for entry in state.endpoints.values() if entry.lifecycle == LIFECYCLE_READY
@@ -57,19 +57,19 @@
         return ReadyList(state.list_seq, ready)
 
     def merge_peer_directives(self, owner: int, directives: list[OperatorDirective]) -> None:
-        """Record the directives to a peer that are newer than the replica."""
+        """Record those directives to a peer that are newer than in the replica."""
         for directive in directives:
             replicas = self._journal.state.peer_directives.get(owner, {})
             if directive.supersedes(replicas.get(directive.target)):
                 self._journal.record(PeerDirectiveRecord(owner, directive))
 
     def restore_own_directives(self, directives: list[OperatorDirective]) -> None:
-        """Put directives into force of which a peer holds a replica."""
+        """Apply directives to this front end from the replica of a peer."""
         log.warning("directives restored from peer", directives=len(directives))
         self._host.adopt_directives(directives)
 
     def apply_peer_ready_list(self, peer: int, seq: int, short_ids: set[int]) -> None:
-        """Send to no engine that a newer list of a peer does not show as ready."""
+        """Stop sending to engines that a peer's newer list does not show as ready."""
         state = self._journal.state
         if self._host.endpoints_confirmed() or not self._endpoints.restrict(state, seq, short_ids):
             return
--- a/lilacfront/recovery/records.py
+++ b/lilacfront/recovery/records.py
@@ -1,7 +1,7 @@
 """Records of the recovery journal and their encoding as MessagePack arrays. No I/O.
 
-The order of the fields, the tags and the types are the stored form and must not change within one
-`FORMAT_VERSION`; the names of classes and fields are free.
+The order of the fields, the tags and the types are stored and must not change within one `FORMAT_VERSION`.
+The names of classes and fields are not stored.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class EndpointEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One engine as the endpoint list described it."""
+    """Stored form of one entry of the endpoint list."""
 
     instance_id: str
     address: str
@@ -30,7 +30,7 @@
 
     @classmethod
     def from_endpoint(cls, endpoint: EndpointRecord) -> EndpointEntry:
-        """Make the stored form of an entry of the endpoint list."""
+        """Convert an entry of the endpoint list to its stored form."""
         return cls(
             endpoint.instance_id,
             endpoint.host_port,
@@ -43,7 +43,7 @@
         )
 
     def to_endpoint(self, started_at_ms: float | None = None) -> EndpointRecord:
-        """Make an entry of the endpoint list, with another start time where one is given."""
+        """Convert to an entry of the endpoint list; `started_at_ms`, if given, replaces the stored time."""
         return EndpointRecord(
             host_port=self.address,
             instance_id=self.instance_id,
@@ -61,7 +61,7 @@
 
 
 class JournalHeader(Record, frozen=True, tag="head"):
-    """First record of every generation: whose journal it is."""
+    """First record of every generation; identifies the front end and site that own the journal."""
 
     version: int
     name: str
@@ -78,7 +78,7 @@
 
 
 class ChangeLogResetRecord(Record, frozen=True, tag="anew"):
-    """The change log numbers its events from 1 again; known endpoints stay until it says otherwise."""
+    """The change log restarted its event numbers at 1; known endpoints stay until it updates them."""
 
 
 class DirectiveRecord(Record, frozen=True, tag="word"):
@@ -88,14 +88,14 @@
 
 
 class PeerDirectiveRecord(Record, frozen=True, tag="kept"):
-    """A directive to peer number `owner`, of which this front end keeps a replica."""
+    """Replica of an operator's directive to the peer with the number `owner`."""
 
     owner: int
     directive: OperatorDirective
 
 
 class LoadStartedRecord(Record, frozen=True, tag="out"):
-    """A load is sent; from now on it may have run. `started_at` is in Unix seconds."""
+    """A load is about to be sent and may run from then on. `started_at` is in Unix seconds."""
 
     call_id: bytes
     started_at: float
@@ -108,7 +108,7 @@
 
 
 class IncarnationRecord(Record, frozen=True, tag="life"):
-    """The incarnation of this front end among its peers."""
+    """The incarnation of this front end in the membership protocol."""
 
     incarnation: int
 
@@ -121,7 +121,7 @@
 
 
 class CleanShutdownRecord(Record, frozen=True, tag="closed"):
-    """The process ended by a graceful shutdown; a later record belongs to another process."""
+    """The process ended with a graceful shutdown; a later record belongs to another process."""
 
     closed: bool = True
 
@@ -151,6 +151,6 @@
     """Decode a record.
 
     Raises:
-        msgspec.MsgspecError: The bytes are no record.
+        msgspec.MsgspecError: The bytes are not a valid record.
     """
     return _DECODER.decode(data)
--- a/lilacfront/recovery/restored_endpoints.py
+++ b/lilacfront/recovery/restored_endpoints.py
@@ -1,4 +1,4 @@
-"""The restored endpoint list, as it is used until the change log confirms it. No I/O."""
+"""The restored endpoint list, corrected until the change log confirms it. No I/O."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class RestoredEndpoints:
-    """Corrections of the restored list: engines that peers know better, and cold ones."""
+    """Corrections of the restored list: engines that a peer's newer list omits, and start times."""
 
     def __init__(self) -> None:
-        self._peer_ready_ids: set[int] | None = None  # short ids; an engine that is not in it is left out
+        self._peer_ready_ids: set[int] | None = None  # short ids; other engines are draining
         self._peer_list_seq = 0
         self._min_started_at_ms = 0.0
 
     @property
     def restricted(self) -> bool:
-        """Whether a peer's list leaves engines out."""
+        """Whether a peer's list restricts the engines in use."""
         return self._peer_ready_ids is not None
 
     def restrict(self, state: DurableState, seq: int, short_ids: set[int]) -> bool:
-        """Leave out engines that a peer's list does not show as ready; False for an older list."""
+        """Restrict the engines to those that a peer's list shows as ready; returns False for an old list."""
         if seq <= max(state.list_seq, self._peer_list_seq):
             return False
         self._peer_list_seq = seq
@@ -33,15 +33,15 @@
         return True
 
     def lift_restriction(self) -> None:
-        """Use all engines again: the change log knows better than any peer."""
+        """Remove the restriction; the change log takes precedence over the lists of peers."""
         self._peer_ready_ids = None
 
     def mark_restarted(self, at: float) -> None:
-        """Count all engines as started no earlier than `at`, in Unix seconds, thus as cold."""
+        """Treat all engines as started at `at` (Unix seconds) or later, so that they count as cold."""
         self._min_started_at_ms = at * _MS_PER_S
 
     def update(self, state: DurableState) -> EndpointUpdate:
-        """The corrected list as a snapshot."""
+        """Return the corrected list as a snapshot."""
         update = state.endpoint_update(self._min_started_at_ms)
         if self._peer_ready_ids is None:
             return update
--- a/lilacfront/recovery/settings.py
+++ b/lilacfront/recovery/settings.py
@@ -1,4 +1,4 @@
-"""Settings of recovery from a power loss, read from `deploy/recovery.toml`. Off as shipped."""
+"""Settings of recovery from a power loss, read from `deploy/recovery.toml`. Off by default."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 
 
 class RecoverySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The table `[recovery]`; each field names its key where the two differ.
+    """The table `[recovery]`; a field whose key differs declares the key with `name=`.
 
     Attributes:
-        directory: Directory of the store, on a disk that outlasts a power loss; empty turns recovery off.
+        directory: Directory of the store, on a disk that survives a power loss; empty turns recovery off.
         site: Name of the site; journals of another site are ignored.
-        write_window_s: Longest delay of a record on its way to the disk; a power loss may cost so much.
-        max_journal_mb: Size of a journal from which a new generation is begun.
-        restore_timeout_s: How long the start waits for the disk.
+        write_window_s: Longest delay before a record is written; a power loss can lose the records of this
+            time.
+        max_journal_mb: Size of a journal in MiB above which a new generation is begun.
+        restore_timeout_s: How long the start waits for the restore from the disk.
         confirm_timeout_s: How long the start waits for the change log to confirm the endpoint list.
         short_reads_stage_s: How long only short idempotent requests are served.
-        idempotent_stage_s: How long everything but loads is served afterwards.
+        idempotent_stage_s: How long after that all requests but loads are served.
         renumbering_wait_s: How long a change log must stay behind the restored list before it counts as
             renumbered.
     """
@@ -42,12 +43,12 @@
 
     @property
     def enabled(self) -> bool:
-        """Whether this front end keeps a store at all."""
+        """Whether this front end has a store, and thus recovery."""
         return bool(self.directory)
 
 
 class RecoveryFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole file."""
+    """The whole settings file."""
 
     recovery: RecoverySettings = RecoverySettings()
 
@@ -68,15 +69,15 @@
     """Decode and check a settings file.
 
     Raises:
-        RecoverySettingsError: The file is no valid TOML, has an unknown key or a value out of its range.
+        RecoverySettingsError: The file is not valid TOML, has an unknown key or a value out of its range.
     """
     try:
         settings = msgspec.toml.decode(text, type=RecoveryFile).recovery
     except (msgspec.MsgspecError, ValueError) as error:
         raise RecoverySettingsError("", error) from error
-    for name, (least, most) in RANGES.items():
+    for name, (minimum, maximum) in RANGES.items():
         value = getattr(settings, name)
-        if not least <= value <= most:
-            problem = f"{value} is not from {least} to {most}"
+        if not minimum <= value <= maximum:
+            problem = f"{value} is not from {minimum} to {maximum}"
             raise RecoverySettingsError(f"recovery.{_KEYS[name]}", problem)
     return settings
--- a/lilacfront/recovery/startup_stages.py
+++ b/lilacfront/recovery/startup_stages.py
@@ -1,7 +1,8 @@
-"""The stages in which service returns after a power loss: a state machine. No I/O; times are seconds.
+"""State machine of the stages in which service returns after a power loss. No I/O; times are in seconds.
 
-Every stage has a timeout, so that no front end waits forever for another. A planned restart passes through
-all stages at once: its store was closed cleanly, or a peer serves, and the engines are warm.
+Every stage has a timeout, so that no front end waits forever for another. After a planned restart the
+engines are warm and all stages are passed at once. A restart counts as planned if the store was closed
+cleanly or a peer is serving.
 """
 
 from __future__ import annotations
@@ -13,21 +14,21 @@
 from lilacfront.decisions.settings import Idempotency, RequestClass
 from lilacfront.recovery.settings import RecoverySettings
 
-PEER_WAIT_S: Final = 0.5  # for peers' first messages, before the whole fleet counts as restarted
+PEER_WAIT_S: Final = 0.5  # seconds to wait for peers' first messages before assuming a fleet-wide outage
 
 
 class RecoveryStage(IntEnum):
     """Stages of a start, in their order; the numbers are sent to peers."""
 
-    RESTORING = 0  # the store is read
-    CONFIRMING = 1  # the restored endpoint list may be out of date
-    SHORT_READS = 2  # short idempotent requests are served
-    IDEMPOTENT = 3  # everything but loads is served
-    OPEN = 4
+    RESTORING = 0  # the store is being read
+    CONFIRMING = 1  # waits until the change log confirms the restored endpoint list
+    SHORT_READS = 2  # only short idempotent requests are served
+    IDEMPOTENT = 3  # all requests but loads are served
+    OPEN = 4  # all requests are served
 
     @property
     def label(self) -> str:
-        """The word for the stage in answers to administrators and in logs."""
+        """Name of the stage in answers to administrators and in logs."""
         return _LABELS[self]
 
 
@@ -42,15 +43,16 @@
 
 @dataclass(slots=True)
 class StartupConditions:
-    """What a front end knows at one moment of its start.
+    """Inputs of the state machine at one moment.
 
     Attributes:
-        restored: The store was read, or can't be.
-        planned_restart: Nothing indicates a power loss: there is no journal yet, or it was closed cleanly.
+        restored: The store has been read or can't be read.
+        planned_restart: The journal was closed cleanly, or another process of this front end has the store
+            locked.
         endpoints_confirmed: The change log has delivered all its events.
-        peer_serving: A peer is in the stage `OPEN`.
-        has_peers: Other front ends are followed.
-        directives_agree: No peer holds directives to this front end that it lacks itself.
+        peer_serving: At least one peer is in the stage `OPEN`.
+        has_peers: The membership protocol runs, so there may be peers.
+        directives_agree: No peer has a replica of this front end's directives that differs from its own.
     """
 
     restored: bool = False
@@ -62,14 +64,14 @@
 
 
 class StartupStages:
-    """The stages of one start.
+    """The state machine of one start.
 
     Attributes:
         stage: The current stage.
-        stage_since: When it began.
-        endpoints_stale: Service began although the change log had not confirmed the endpoint list; it still
-            has not.
-        fleet_outage: The engines count as restarted together with this front end, thus as cold.
+        stage_since: When the current stage began.
+        endpoints_stale: Service began before the change log confirmed the endpoint list, and the list is
+            still unconfirmed.
+        fleet_outage: The engines are assumed to have restarted together with this front end and to be cold.
     """
 
     def __init__(self, settings: RecoverySettings, now: float) -> None:
@@ -81,7 +83,7 @@
         self.fleet_outage = False
 
     def advance(self, now: float, conditions: StartupConditions) -> RecoveryStage:
-        """Enter every stage whose time has come; returns the current one."""
+        """Enter every stage whose conditions are met; returns the current stage."""
         settings = self.settings
         if self.stage is RecoveryStage.RESTORING and (
             conditions.restored or now - self.started_at >= settings.restore_timeout_s
@@ -99,14 +101,14 @@
         return self.stage
 
     def earliest_start(self, stage: RecoveryStage, now: float) -> float:
-        """When a stage begins, as far as can be foreseen; never before now."""
+        """Estimated time at which a stage begins, at least `now`."""
         since_first_service = self._since_first_service(self.stage)
         serving = self.stage >= RecoveryStage.SHORT_READS
         first_service = self.stage_since - since_first_service if serving else now
         return max(now, first_service + self._since_first_service(stage))
 
     def _since_first_service(self, stage: RecoveryStage) -> float:
-        """Planned seconds from the first request served to the beginning of a stage."""
+        """Planned seconds from the beginning of service to the beginning of a stage."""
         settings = self.settings
         if stage is RecoveryStage.IDEMPOTENT:
             return settings.short_reads_stage_s
@@ -120,7 +122,7 @@
 
     def _advance_from_confirming(self, now: float, conditions: StartupConditions) -> None:
         timed_out = now - self.stage_since >= self.settings.confirm_timeout_s
-        # A front end that restarts alone must hear its peers before it takes the fleet for cold.
+        # If only this front end restarted, the first message of a serving peer shows that the fleet is warm.
         peers_known = (
             conditions.planned_restart
             or conditions.peer_serving
@@ -133,25 +135,30 @@
             self._enter(RecoveryStage.SHORT_READS if self.fleet_outage else RecoveryStage.OPEN, now)
 
     def _advance_from_idempotent(self, now: float, conditions: StartupConditions) -> None:
-        # Directives that are fetched may never come; loads do not wait for them forever.
+        # Missing directives may never arrive, so they delay loads only by the length of one more stage.
         extension = 1 if conditions.directives_agree else 2
         if now - self.stage_since >= self.settings.idempotent_stage_s * extension:
             self._enter(RecoveryStage.OPEN, now)
 
 
-def _thread_time_us(spec: RequestClass) -> int:
-    return spec.latency_objective_us * spec.threads
+def _thread_time_us(request_class: RequestClass) -> int:
+    return request_class.latency_objective_us * request_class.threads
 
 
 def admission_stages(classes: tuple[RequestClass, ...]) -> tuple[RecoveryStage, ...]:
-    """The stage from which each class is served: the shortest idempotent ones first, loads last."""
-    idempotent = (spec for spec in classes if spec.idempotency is Idempotency.IDEMPOTENT)
+    """The first stage that serves each class: the shortest idempotent classes first, loads last."""
+    idempotent = (
+        request_class for request_class in classes if request_class.idempotency is Idempotency.IDEMPOTENT
+    )
     shortest_us = min(map(_thread_time_us, idempotent), default=0)
 
-    def admission_stage(spec: RequestClass) -> RecoveryStage:
-        if spec.idempotency is Idempotency.NOT_IDEMPOTENT:
+    def admission_stage(request_class: RequestClass) -> RecoveryStage:
+        if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
             return RecoveryStage.OPEN
-        short = spec.idempotency is Idempotency.IDEMPOTENT and _thread_time_us(spec) <= shortest_us
+        short = (
+            request_class.idempotency is Idempotency.IDEMPOTENT
+            and _thread_time_us(request_class) <= shortest_us
+        )
         return RecoveryStage.SHORT_READS if short else RecoveryStage.IDEMPOTENT
 
     return tuple(map(admission_stage, classes))
--- a/lilacfront/recovery/state_exchange.py
+++ b/lilacfront/recovery/state_exchange.py
@@ -1,10 +1,13 @@
-"""Exchange of state between front ends after a power loss: digests, and what differs in chunks. No I/O.
+"""Anti-entropy between front ends: digests of the state, and transfers where the state differs. No I/O.
 
-Each front end sends checksums of the directives to it and of its list of ready engines. A peer whose
-replica of the directives differs fetches them and merges them by number; where its replica still differs it
-offers that in turn. A front end takes over directives to itself only while it recovers: later it is the one
-that knows. Ready lists are fetched by their numbers. Everything is idempotent; what is lost is asked for
-again, and nothing is waited for.
+1. Each front end sends digests with checksums of the directives to it and of its list of ready engines.
+2. A peer whose replica of the directives has another checksum fetches the directives and merges them by
+   revision. If its replica still differs afterwards, it offers the replica to the front end.
+3. A front end applies an offered replica only while it recovers; after that its own directives are
+   authoritative.
+4. A recovering front end fetches a ready list that has a higher number than its own.
+
+All messages are idempotent. Lost chunks are requested again, and no call blocks.
 """
 
 from __future__ import annotations
@@ -36,24 +39,24 @@
 )
 from lilacfront.recovery.transfers import InboundTransfers
 
-MAX_STATE_BYTES: Final = 0xFFFF  # of one kind of state; a longer one is not offered
-MAX_CHUNK_BYTES: Final = 180
-FRUITLESS_FETCH_PAUSE_S: Final = 2.0  # until directives that brought nothing new are fetched again
-PEER_STAGE_TTL_S: Final = 2.0
+MAX_STATE_BYTES: Final = 0xFFFF  # longer encodings of one kind of state are not offered
+MAX_CHUNK_BYTES: Final = 180  # bytes of state in one chunk
+UNCHANGED_FETCH_PAUSE_S: Final = 2.0  # seconds before directives that left a replica different are refetched
+PEER_STAGE_TTL_S: Final = 2.0  # seconds for which a received stage of a peer is valid
 OFFERS_PER_DIGEST: Final = 2
-_ANY_PEER: Final = -1  # in the place of the peer, for state that is the same for all
-_NO_CHECKSUM: Final = -1
+_ANY_PEER: Final = -1  # stands for the peer where the state is the same for all peers
+_NO_CHECKSUM: Final = -1  # differs from every CRC-32
 
 
 class ExchangedState(Protocol):
-    """The state of one front end, as the exchange reads and changes it."""
+    """Access of the exchange to the state of one front end."""
 
     def stage_number(self) -> int:
-        """The current stage of the start."""
+        """Number of the current recovery stage."""
         ...
 
     def recovering(self) -> bool:
-        """Whether directives and lists of peers are taken over."""
+        """Whether directives and ready lists from peers are applied."""
         ...
 
     def own_directives(self) -> Iterable[OperatorDirective]:
@@ -61,19 +64,19 @@
         ...
 
     def peer_directives(self) -> Mapping[int, Mapping[str, OperatorDirective]]:
-        """Replicas of directives to peers, by the peer's number and by name."""
+        """Replicas of the directives to each peer, by the peer's number and the directive's target."""
         ...
 
     def ready_list(self) -> ReadyList:
-        """The engines that are ready by this front end's list."""
+        """The engines that this front end's endpoint list shows as ready."""
         ...
 
     def merge_peer_directives(self, owner: int, directives: list[OperatorDirective]) -> None:
-        """Merge directives to a peer into the replica."""
+        """Merge directives to a peer into the replica of them."""
         ...
 
     def restore_own_directives(self, directives: list[OperatorDirective]) -> None:
-        """Take over directives to this front end of which a peer holds a replica."""
+        """Apply directives to this front end from the replica of a peer."""
         ...
 
     def apply_peer_ready_list(self, peer: int, seq: int, short_ids: set[int]) -> None:
@@ -82,11 +85,11 @@
 
 
 class StateExchange(Piggyback):
-    """One front end's side of the exchange, called with the messages of the membership protocol.
+    """One front end's side of the exchange; its items travel in messages of the membership protocol.
 
     Attributes:
         peer_stages: The stage of each peer and when it was received.
-        disagreeing_peers: Peers that hold directives to this front end that it lacks.
+        disagreeing_peers: Peers whose replica of this front end's directives differs and is being fetched.
     """
 
     def __init__(self, state: ExchangedState) -> None:
@@ -94,35 +97,35 @@
         self.disagreeing_peers: set[int] = set()
         self._state = state
         self._transfers = InboundTransfers()
-        # By peer, the checksum of directives that brought nothing new, and until when they are not fetched.
-        self._fruitless: dict[int, tuple[int, float]] = {}
+        # By peer: checksum of fetched directives that left the replica different, and the end of the pause.
+        self._unchanged_fetches: dict[int, tuple[int, float]] = {}
         self._encoded: dict[tuple[StateKind, int], bytes] = {}
 
     @property
-    def transfers_under_way(self) -> int:
-        """How many states are being fetched from peers."""
+    def active_transfers(self) -> int:
+        """Number of transfers from peers in progress."""
         return self._transfers.count
 
     def invalidate(self) -> None:
-        """Encode the state again before it is next offered: it may have changed."""
+        """Discard the cached encodings, because the state may have changed."""
         self._encoded.clear()
 
     def any_peer_at_stage(self, now: float, stage: int) -> bool:
-        """Whether a peer was in this stage or a later one just now."""
+        """Whether a peer reported this stage or a later one within the last `PEER_STAGE_TTL_S`."""
         return any(
             peer_stage >= stage and now - received_at < PEER_STAGE_TTL_S
             for peer_stage, received_at in self.peer_stages.values()
         )
 
-    def retries_due(self, now: float) -> list[tuple[int, ChunkRequest]]:
-        """Requests for chunks that did not come, and the peers to send them to."""
+    def collect_retries(self, now: float) -> list[tuple[int, ChunkRequest]]:
+        """Drop stalled transfers; returns repeated requests for overdue chunks, each with its peer."""
         self.disagreeing_peers -= self._transfers.expire(now)
-        return self._transfers.retries_due(now)
+        return self._transfers.collect_retries(now)
 
     # ---- messages -------------------------------------------------------------------------------------
     def collect(self, now: float, room: int) -> Iterator[Item]:
-        """A digest of the state, where `room` bytes hold it."""
-        del now  # a digest is offered at any time
+        """Yield a digest of the state if it fits into `room` bytes."""
+        del now  # digests are not limited in rate
         if room >= ITEM_HEADER_BYTES + DIGEST.size + OFFERS_PER_DIGEST * OFFER.size:
             seq = self._state.ready_list().seq
             offers = (
@@ -132,21 +135,21 @@
             yield StateDigest(self._state.stage_number(), seq & SHORT_ID_MASK, offers)
 
     def receive(self, now: float, sender: int, item: PiggybackItem) -> Iterator[Item]:
-        """Handle a peer's item; returns the items that answer it."""
+        """Handle a peer's item; yields the items to send in answer."""
         match item:
             case StateDigest(stage, seq, offers):
                 if seq or offers:
                     self.peer_stages[sender] = (stage, now)
                 for kind, checksum, size in offers:
-                    if self._wants(now, sender, kind, checksum, seq):
+                    if self._should_fetch(now, sender, kind, checksum, seq):
                         yield from self._transfers.start(now, sender, kind, checksum, size)
             case ChunkRequest():
-                yield from self._answer_fetch(sender, item)
+                yield from self._answer_chunk_request(sender, item)
             case StateChunk():
                 yield from self._receive_chunk(now, sender, item)
 
     def _encode(self, kind: StateKind, peer: int) -> bytes:
-        """The state of a kind; of replicas, those of this peer's directives."""
+        """Encode the state of a kind, with a cache; a replica is that of the peer's directives."""
         key = (kind, peer if kind is StateKind.REPLICA else _ANY_PEER)
         encoded = self._encoded.get(key)
         if encoded is None:
@@ -168,22 +171,22 @@
         size = len(data) if len(data) <= MAX_STATE_BYTES else 0
         return kind, zlib.crc32(data), size
 
-    def _wants(self, now: float, peer: int, kind: int, checksum: int, seq: int) -> bool:
-        """Whether an offered state is to be fetched."""
+    def _should_fetch(self, now: float, peer: int, kind: int, checksum: int, seq: int) -> bool:
+        """Whether to fetch a state that a peer offers."""
         match kind:
             case StateKind.OPERATOR_ORDERS:
-                fruitless, until = self._fruitless.get(peer, (_NO_CHECKSUM, 0.0))
-                # Where they differ, the peer may have lost its directives or have newer ones: merging tells.
+                unchanged_checksum, until = self._unchanged_fetches.get(peer, (_NO_CHECKSUM, 0.0))
+                # The checksum doesn't show which side is newer; merging by revision does.
                 differ = self._checksum(StateKind.REPLICA, peer) != checksum
-                return differ and not (fruitless == checksum and now < until)
+                return differ and not (unchanged_checksum == checksum and now < until)
             case StateKind.REPLICA:
-                return self._wants_replica(peer, checksum)
+                return self._should_fetch_replica(peer, checksum)
             case StateKind.ENDPOINT_LIST:
                 return self._state.recovering() and seq > self._state.ready_list().seq
         return False
 
-    def _wants_replica(self, peer: int, checksum: int) -> bool:
-        """Whether a peer's replica of the directives to this front end is to be fetched."""
+    def _should_fetch_replica(self, peer: int, checksum: int) -> bool:
+        """Whether to fetch a peer's replica of the directives to this front end."""
         if self._checksum(StateKind.OPERATOR_ORDERS, _ANY_PEER) == checksum:
             self.disagreeing_peers.discard(peer)
             return False
@@ -192,7 +195,7 @@
         self.disagreeing_peers.add(peer)
         return True
 
-    def _answer_fetch(self, peer: int, request: ChunkRequest) -> Iterator[Item]:
+    def _answer_chunk_request(self, peer: int, request: ChunkRequest) -> Iterator[Item]:
         if request.kind not in (*StateKind,):
             return
         data = self._encode(StateKind(request.kind), peer)
@@ -208,16 +211,16 @@
             try:
                 yield from self._apply(now, peer, chunk.kind, received, chunk.check)
             except msgspec.MsgspecError:
-                return  # of another version, or malicious: as if it had not come
+                return  # drops state that another version or a malicious peer sent
 
     def _apply(self, now: float, peer: int, kind: int, data: bytes, checksum: int) -> Iterator[Item]:
-        """Use a state that came complete."""
+        """Apply a completely received state; yields the items to send in answer."""
         match kind:
             case StateKind.OPERATOR_ORDERS:
                 self._state.merge_peer_directives(peer, decode_directives(data))
                 self.invalidate()
                 if self._checksum(StateKind.REPLICA, peer) != checksum:
-                    self._fruitless[peer] = (checksum, now + FRUITLESS_FETCH_PAUSE_S)
+                    self._unchanged_fetches[peer] = (checksum, now + UNCHANGED_FETCH_PAUSE_S)
                     yield StateDigest(self._state.stage_number(), 0, (self._offer(StateKind.REPLICA, peer),))
             case StateKind.REPLICA:
                 if self._state.recovering():
--- a/lilacfront/recovery/store.py
+++ b/lilacfront/recovery/store.py
@@ -1,6 +1,6 @@
-"""Generations of journal files in one directory: a checkpoint of the state and the records after it.
+"""Store of journal files in one directory; each generation is a checkpoint and the records after it.
 
-All methods wait for the disk; `journal_writer` calls them from a thread of its own.
+All methods block on the disk, so `journal_writer` calls them in its own thread.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from lilacfront.recovery.records import FORMAT_VERSION, AnyRecord, IncarnationRecord, JournalHeader
 
 log = Log(__name__)
-KEPT_GENERATIONS: Final = 2
+KEPT_GENERATIONS: Final = 2  # older journal files are deleted
 _MAX_STEM_CHARACTERS: Final = 64
 _MAX_GENERATION_DIGITS: Final = 17
 _FILE_MODE: Final = 0o600
-_CLOSED: Final = -1  # in place of a file descriptor
+_NO_DESCRIPTOR: Final = -1  # the file is not open
 _UNSAFE_CHARACTERS: Final = re.compile(r"[^A-Za-z0-9_-]")
 
 
 class StoreLockedError(StoreError):
-    """Another process of this front end holds the lock of the store."""
+    """The store is locked by another process of this front end."""
 
 
 class Store:
-    """The journal files of one front end. Methods raise OSError where the disk fails.
+    """The journal files of one front end. Methods raise OSError if the disk fails.
 
     Attributes:
-        generation: Number of the newest generation known.
-        size_bytes: Size of the journal that is written to.
+        generation: Number of the newest generation.
+        size_bytes: Size of the open journal file.
     """
 
     def __init__(self, directory: str, name: str, site: str) -> None:
@@ -47,14 +47,15 @@
         self.stem = f"recovery.{safe_name or 'front'}"
         self.generation = 0
         self.size_bytes = 0
-        self._journal = _CLOSED
-        self._lock = _CLOSED
+        self._journal = _NO_DESCRIPTOR
+        self._lock = _NO_DESCRIPTOR
 
     def lock(self) -> None:
-        """Lock the store for this process; the lock is released when the process ends, however it does.
+        """Lock the store for this process; the kernel releases the lock when the process ends.
 
         Raises:
             StoreLockedError: Another process of this front end holds the lock.
+            OSError: The lock file can't be opened.
         """
         flags = os.O_RDWR | os.O_CREAT | os.O_NOFOLLOW | os.O_CLOEXEC
         lock = os.open(self.directory / f"{self.stem}.lock", flags, _FILE_MODE)
@@ -66,10 +67,10 @@
         self._lock = lock
 
     def restore(self) -> DurableState:
-        """Read the state back: the newest usable generation, after the one before it.
+        """Restore the state from the newest usable generation.
 
-        A damaged journal is logged. Applying records twice changes nothing, so the older generation is
-        simply replayed first.
+        If the checkpoint of a generation is incomplete, the generation before it is replayed first; this is
+        safe because applying records twice changes nothing. Damaged journals are logged.
         """
         generations = self._generations()
         self.generation = generations[0][0] if generations else 0
@@ -79,7 +80,7 @@
             if contents is None:
                 continue
             usable.append(contents)
-            # A checkpoint without its incarnation record is not complete.
+            # A complete checkpoint contains an incarnation record.
             if any(isinstance(record, IncarnationRecord) for record in contents.records):
                 break
         state = DurableState()
@@ -89,22 +90,22 @@
         return state
 
     def begin_generation(self, checkpoint: Iterable[AnyRecord]) -> None:
-        """Write a new generation beside the old one, sync it, and give it its name."""
+        """Write a new generation to a temporary file, sync it and rename it to its final name."""
         self.generation += 1
         header = JournalHeader(FORMAT_VERSION, self.name, self.site, self.generation)
         data = encode_journal(header, checkpoint)
-        fresh = self.directory / f"{self.stem}.new"
+        new_path = self.directory / f"{self.stem}.new"
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC
-        journal = os.open(fresh, flags, _FILE_MODE)
+        journal = os.open(new_path, flags, _FILE_MODE)
         try:
             self._write(journal, data)
             self._sync(journal)
-            self._rename(fresh, self.directory / f"{self.stem}.{self.generation}.journal")
+            self._rename(new_path, self.directory / f"{self.stem}.{self.generation}.journal")
             self._sync_directory()
         except BaseException:
             os.close(journal)
             raise
-        if self._journal != _CLOSED:
+        if self._journal != _NO_DESCRIPTOR:
             os.close(self._journal)
         self._journal = journal
         self.size_bytes = len(data)
@@ -113,7 +114,7 @@
                 self._unlink(path)
 
     def append(self, frames: bytes) -> None:
-        """Append framed records; they are on the disk when this returns."""
+        """Append framed records and sync them to the disk."""
         self._write(self._journal, frames)
         self._sync(self._journal)
         self.size_bytes += len(frames)
@@ -121,13 +122,13 @@
     def close(self) -> None:
         """Close the journal and release the lock."""
         for descriptor in (self._journal, self._lock):
-            if descriptor != _CLOSED:
+            if descriptor != _NO_DESCRIPTOR:
                 os.close(descriptor)
-        self._journal = _CLOSED
-        self._lock = _CLOSED
+        self._journal = _NO_DESCRIPTOR
+        self._lock = _NO_DESCRIPTOR
 
     def _generations(self) -> list[tuple[int, Path]]:
-        """Numbers and paths of the journals there are, newest first."""
+        """Numbers and paths of the existing journals, newest first."""
         found: list[tuple[int, Path]] = []
         for path in self.directory.glob(f"{self.stem}.*.journal"):
             number = path.name.removeprefix(self.stem + ".").removesuffix(".journal")
@@ -136,7 +137,7 @@
         return sorted(found, reverse=True)
 
     def _read(self, path: Path) -> JournalContents | None:
-        """Contents of one journal, or None for a file that can't be used."""
+        """Contents of one journal, or None if the file can't be used."""
         try:
             if not path.is_file() or path.is_symlink():
                 raise StoreError("not a regular file")
@@ -153,12 +154,12 @@
             )
         return contents
 
-    # Single steps of a write; `lab/crash_points.py` ends the process or cuts the power at each of them.
+    # Steps of a write. `lab/crash_points.py` overrides them to simulate a crash or power loss at each one.
     def _sync(self, descriptor: int) -> None:
         os.fdatasync(descriptor)
 
-    def _rename(self, fresh: Path, path: Path) -> None:
-        os.rename(fresh, path)
+    def _rename(self, new_path: Path, path: Path) -> None:
+        os.rename(new_path, path)
 
     def _unlink(self, path: Path) -> None:
         path.unlink()
--- a/lilacfront/recovery/transfers.py
+++ b/lilacfront/recovery/transfers.py
@@ -1,4 +1,4 @@
-"""Transfers of state from peers in chunks, each asked for by the receiver. No I/O; times are seconds."""
+"""Chunked transfers of state from peers, driven by the receiver. No I/O; times are in seconds."""
 
 from __future__ import annotations
 
@@ -9,35 +9,38 @@
 
 from lilacfront.membership.messages import ChunkRequest, StateChunk
 
-MAX_TRANSFERS: Final = 16  # at once: a megabyte
-RETRY_AFTER_S: Final = 0.4  # until a missing chunk is asked for again
-GIVE_UP_AFTER_S: Final = 10.0  # without a chunk: the peer no longer has what it offered
+MAX_TRANSFERS: Final = 16  # concurrent transfers; together at most 1 MiB
+CHUNK_RETRY_S: Final = 0.4  # seconds until a missing chunk is requested again
+STALL_TIMEOUT_S: Final = 10.0  # seconds without a chunk; the peer no longer has the offered state
 
 
 @dataclass(slots=True)
 class _Transfer:
-    """One state on its way from a peer."""
+    """One transfer in progress."""
 
     checksum: int
     size: int
-    asked_at: float
+    requested_at: float
     received_at: float
     data: bytearray = field(default_factory=bytearray)
 
 
 class InboundTransfers:
-    """The transfers under way, at most one for each peer and kind of state."""
+    """The transfers in progress, at most one per peer and kind of state."""
 
     def __init__(self) -> None:
         self._transfers: dict[tuple[int, int], _Transfer] = {}
 
     @property
     def count(self) -> int:
-        """How many transfers are under way."""
+        """Number of transfers in progress."""
         return len(self._transfers)
 
     def start(self, now: float, peer: int, kind: int, checksum: int, size: int) -> Iterator[ChunkRequest]:
-        """Ask a peer for the first chunk of a state, unless it is on its way or too many others are."""
+        """Start a transfer and yield the request for its first chunk.
+
+        Does nothing if the same state is already being transferred, or if too many transfers are in progress.
+        """
         current = self._transfers.get((peer, kind))
         if current is not None and current.checksum == checksum:
             return
@@ -47,9 +50,9 @@
         yield ChunkRequest(kind, checksum, 0)
 
     def receive(self, now: float, peer: int, chunk: StateChunk) -> ChunkRequest | bytes | None:
-        """Take in a chunk; returns the request for the next one, or the state once it is complete.
+        """Accept a chunk; returns the request for the next one, or the complete state.
 
-        A chunk that nobody asked for and a state whose checksum does not fit are dropped: the result is None.
+        Drops chunks that were not requested and states with a wrong checksum, and returns None for them.
         """
         key = (peer, chunk.kind)
         transfer = self._transfers.get(key)
@@ -58,7 +61,7 @@
         if chunk.offset != len(transfer.data) or not chunk.data:
             return None
         transfer.data += chunk.data
-        transfer.asked_at = now
+        transfer.requested_at = now
         transfer.received_at = now
         if len(transfer.data) < transfer.size:
             return ChunkRequest(chunk.kind, chunk.check, len(transfer.data))
@@ -67,19 +70,19 @@
         return state if zlib.crc32(state) == chunk.check else None
 
     def expire(self, now: float) -> set[int]:
-        """Drop the transfers that have stalled for too long; returns their peers."""
+        """Drop the transfers without a chunk for `STALL_TIMEOUT_S`; returns their peers."""
         stalled = [
-            key for key, transfer in self._transfers.items() if now - transfer.received_at >= GIVE_UP_AFTER_S
+            key for key, transfer in self._transfers.items() if now - transfer.received_at >= STALL_TIMEOUT_S
         ]
         for key in stalled:
             del self._transfers[key]
         return {peer for peer, _ in stalled}
 
-    def retries_due(self, now: float) -> list[tuple[int, ChunkRequest]]:
-        """Requests for chunks that did not come, and the peers to send them to."""
+    def collect_retries(self, now: float) -> list[tuple[int, ChunkRequest]]:
+        """Requests for chunks that did not arrive within `CHUNK_RETRY_S`, each with its peer."""
         requests: list[tuple[int, ChunkRequest]] = []
         for (peer, kind), transfer in self._transfers.items():
-            if now - transfer.asked_at >= RETRY_AFTER_S:
-                transfer.asked_at = now
+            if now - transfer.requested_at >= CHUNK_RETRY_S:
+                transfer.requested_at = now
                 requests.append((peer, ChunkRequest(kind, transfer.checksum, len(transfer.data))))
         return requests
--- a/lilacfront/server/operations_host.py
+++ b/lilacfront/server/operations_host.py
@@ -74,7 +74,7 @@
 
     def status_note(self) -> str:
         """What STATUS says of recovery; empty without it."""
-        return "" if self._server.recovery is None else self._server.recovery.status_note()
+        return "" if self._server.recovery is None else self._server.recovery.status_suffix()
 
     def member_lines(self) -> list[str] | None:
         """The answer to PEERS; None without membership."""
--- a/tests/recovery/test_blackout.py
+++ b/tests/recovery/test_blackout.py
@@ -1,6 +1,6 @@
-"""Power losses of real front ends: what they restore, what they ask their peers, what they answer meanwhile.
+"""Power losses of real front end processes: restored state, exchange with peers, and answers meanwhile.
 
-Each test waits for what the processes report, under generous limits; none counts seconds.
+Each test waits for logs and answers of the processes with generous timeouts; none depends on exact times.
 """
 
 import shutil
@@ -26,16 +26,16 @@
 from lilacfront.recovery.settings import RecoverySettings
 from lilacfront.recovery.store import Store
 
-CALLS = count(5000)
+CALL_IDS = count(5000)
 SEED = 3
-STAGES: dict[str, Any] = {
+STAGE_SETTINGS: dict[str, Any] = {
     "short_reads_stage_s": 0.3,
     "idempotent_stage_s": 0.3,
     "confirm_timeout_s": 60.0,
 }
-# As shipped: on a busy machine peers may start later than the stages above last, and a front end that
-# is open takes over nothing any more.
-SHIPPED_STAGES: dict[str, Any] = {"short_reads_stage_s": 3.0, "idempotent_stage_s": 3.0}
+# The default lengths. On a busy machine a peer may start only after the shorter stages above have ended, and
+# a front end in the stage OPEN no longer applies state of peers.
+DEFAULT_STAGE_SETTINGS: dict[str, Any] = {"short_reads_stage_s": 3.0, "idempotent_stage_s": 3.0}
 
 
 class StartFleet(Protocol):
@@ -53,7 +53,7 @@
                 members=members,
                 warehouses=3,
                 membership=MembershipSettings(enabled=peers),
-                recovery=RecoverySettings(directory="x", **{**STAGES, **settings}),
+                recovery=RecoverySettings(directory="x", **{**STAGE_SETTINGS, **settings}),
             )
             fleet = Fleet(tmp_path, script, SEED)
             stack.callback(fleet.close)
@@ -75,7 +75,7 @@
 
 
 def state_on_disk(fleet: Fleet, member: int) -> DurableState:
-    """What a start would restore now."""
+    """The state that a start would restore now."""
     return Store(str(fleet.recovery_directories[member]), f"n{member}", "").restore()
 
 
@@ -83,13 +83,13 @@
     def written() -> bool:
         return all(state_on_disk(fleet, member).list_seq == seq for member in members)
 
-    wait_until(written, f"event {seq} on the disk")
+    wait_until(written, f"the endpoint list of event {seq} on the disk")
 
 
-def call_operator(fleet: Fleet, member: int, word: str, warehouse: str) -> None:
-    """Suspend or restore a warehouse, and wait until the directive is on the disk."""
-    assert fleet.processes[member].admin_request(f"{word} {warehouse}").startswith("ok")
-    suspended = word == "SUSPEND"
+def send_directive(fleet: Fleet, member: int, command: str, warehouse: str) -> None:
+    """Suspend or restore an engine, and wait until the directive is on the disk."""
+    assert fleet.processes[member].admin_request(f"{command} {warehouse}").startswith("ok")
+    suspended = command == "SUSPEND"
 
     def written() -> bool:
         directives = state_on_disk(fleet, member).directives
@@ -99,23 +99,23 @@
 
 
 def suspend(fleet: Fleet, member: int, warehouse: str) -> None:
-    call_operator(fleet, member, "SUSPEND", warehouse)
+    send_directive(fleet, member, "SUSPEND", warehouse)
 
 
 def restore(fleet: Fleet, member: int, warehouse: str) -> None:
-    call_operator(fleet, member, "RESTORE", warehouse)
+    send_directive(fleet, member, "RESTORE", warehouse)
 
 
-def sent_to(fleet: Fleet, warehouse: str) -> int:
+def requests_received_by(fleet: Fleet, warehouse: str) -> int:
     return len(fleet.services.warehouses[warehouse].received)
 
 
-def serve_lookups(fleet: Fleet, member: int, lookups: int = 20) -> None:
-    """Lookups of several table groups, each until it is served: cold warehouses reject some."""
+def wait_for_lookups(fleet: Fleet, member: int, lookups: int = 20) -> None:
+    """Send lookups of several table groups, each until it is served; cold engines reject some."""
     client = ThriftClient(fleet.test_beds[member].address)
 
     def served(group: int) -> bool:
-        reply = client.wait_for_reply(client.send_request(next(CALLS), group=group))
+        reply = client.wait_for_reply(client.send_request(next(CALL_IDS), group=group))
         return reply is not None and reply.kind == "answer"
 
     for group in range(lookups):
@@ -132,55 +132,58 @@
     return fleet.processes[member].admin_request("STATUS")
 
 
-def test_directives_are_restored_from_the_disk_or_from_peers_and_a_revoked_one_stays_revoked(
+def test_directives_are_restored_from_disk_or_peers_and_a_revoked_one_stays_revoked(
     start_fleet: StartFleet,
 ) -> None:
-    fleet = start_fleet(3, **SHIPPED_STAGES)
+    fleet = start_fleet(3, **DEFAULT_STAGE_SETTINGS)
     for member in range(3):
         wait_until_open(fleet, member)
     for member in range(3):
         suspend(fleet, member, "s-1")
-    restore(fleet, 2, "s-1")  # on one alone, just before the power loss
+    restore(fleet, 2, "s-1")  # only on this front end, just before the power loss
     suspend(fleet, 1, "s-2")
 
     def replicated(member: int) -> bool:
         return state_on_disk(fleet, member).peer_directives.get(1, {}).keys() == {"s-1", "s-2"}
 
     for member in (0, 2):
-        wait_until(partial(replicated, member), "replicas of the directives to 1")
+        wait_until(partial(replicated, member), "replicas of the directives to front end 1")
     fleet.blackout()
     lose_disk(fleet, 1)
-    sent_before = {warehouse: sent_to(fleet, warehouse) for warehouse in ("s-1", "s-2")}
+    sent_before = {warehouse: requests_received_by(fleet, warehouse) for warehouse in ("s-1", "s-2")}
     start_all(fleet, 0, 1, 2)
     fleet.processes[1].wait_for_log("directives restored from peer")
-    wait_until(lambda: status(fleet, 1) == "ok ready; left out: s-1, s-2", "both directives at 1")
+    wait_until(
+        lambda: status(fleet, 1) == "ok ready; left out: s-1, s-2", "both directives in force at front end 1"
+    )
     assert status(fleet, 0) == "ok ready; left out: s-1"
     assert status(fleet, 2) == "ok ready"
-    serve_lookups(fleet, 0)
-    serve_lookups(fleet, 1)
-    assert sent_to(fleet, "s-1") == sent_before["s-1"]
-    assert sent_to(fleet, "s-2") > sent_before["s-2"]  # by 0, which has no directive about it
+    wait_for_lookups(fleet, 0)
+    wait_for_lookups(fleet, 1)
+    assert requests_received_by(fleet, "s-1") == sent_before["s-1"]
+    # Front end 0 has no directive about s-2.
+    assert requests_received_by(fleet, "s-2") > sent_before["s-2"]
     restore(fleet, 1, "s-2")
     fleet.blackout()
     start_all(fleet, 0, 1, 2)
     assert status(fleet, 1) == "ok ready; left out: s-1"
 
 
-def test_without_the_change_log_and_peers_the_restored_list_is_served_marked_as_stale(
+def test_restored_list_is_used_and_reported_stale_without_change_log_and_peers(
     start_fleet: StartFleet,
 ) -> None:
     fleet = start_fleet(3, confirm_timeout_s=1.0)
-    stand = fleet.services
-    stand.call(lambda: stand.change_log.append(stand.instance("s-1", "draining")))
+    services = fleet.services
+    services.call(lambda: services.change_log.append(services.instance("s-1", "draining")))
     wait_for_list_on_disk(fleet, 2, 0)
     fleet.blackout()
-    stand.call(stand.change_log.stop_listening)
+    services.call(services.change_log.stop_listening)
     fleet.start(0)
     process = fleet.processes[0]
     process.wait_for_log("recovery state restored", seq=2, planned_restart=False)
-    wait_until(lambda: status(fleet, 0) == "fail starting; recovery: confirming", "the first stage")
+    wait_until(lambda: status(fleet, 0) == "fail starting; recovery: confirming", "the stage CONFIRMING")
     client = ThriftClient(fleet.test_beds[0].address)
-    reply = client.wait_for_reply(client.send_request(next(CALLS)))
+    reply = client.wait_for_reply(client.send_request(next(CALL_IDS)))
     assert reply is not None
     assert reply.kind == "shed"
     assert int(reply.fields[b"pushback"]) > 0
@@ -189,28 +192,28 @@
     wait_until_open(fleet, 0)
     assert "list stale, as of event 2" in status(fleet, 0)
     assert client.ping()
-    serve_lookups(fleet, 0)
-    assert not sent_to(fleet, "s-1")
-    stand.call(stand.change_log.resume_listening)
-    wait_until(lambda: "stale" not in status(fleet, 0), "the change log's word")
+    wait_for_lookups(fleet, 0)
+    assert not requests_received_by(fleet, "s-1")
+    services.call(services.change_log.resume_listening)
+    wait_until(lambda: "stale" not in status(fleet, 0), "the change log's confirmation of the endpoint list")
 
 
-def test_a_newer_list_of_one_peer_keeps_requests_from_a_drained_warehouse_until_the_change_log_answers(
+def test_newer_list_of_a_peer_excludes_a_drained_engine_until_the_change_log_answers(
     start_fleet: StartFleet, tmp_path: Path
 ) -> None:
     fleet = start_fleet(4, confirm_timeout_s=3.0)
-    stand = fleet.services
+    services = fleet.services
     wait_for_list_on_disk(fleet, 1, *range(4))
-    old_disks = tmp_path / "old"
+    disk_copies = tmp_path / "old"
     for member in (0, 1):
-        shutil.copytree(fleet.recovery_directories[member], old_disks / str(member))
-    stand.call(lambda: stand.change_log.append(stand.instance("s-2", "gone")))
+        shutil.copytree(fleet.recovery_directories[member], disk_copies / str(member))
+    services.call(lambda: services.change_log.append(services.instance("s-2", "gone")))
     wait_for_list_on_disk(fleet, 2, *range(4))
     fleet.blackout()
-    stand.call(stand.change_log.stop_listening)
-    for member in (0, 1):  # two are rolled back, a third has nothing
+    services.call(services.change_log.stop_listening)
+    for member in (0, 1):  # these two have an older list, and front end 3 below has none
         shutil.rmtree(fleet.recovery_directories[member])
-        shutil.copytree(old_disks / str(member), fleet.recovery_directories[member])
+        shutil.copytree(disk_copies / str(member), fleet.recovery_directories[member])
     lose_disk(fleet, 3)
     for member in range(4):
         fleet.start(member)
@@ -218,47 +221,47 @@
         fleet.processes[member].wait_for_log("peer has newer endpoint list", seq=2, excluded=1)
     for member in range(4):
         wait_until_open(fleet, member)
-        serve_lookups(fleet, member)
-    assert not sent_to(fleet, "s-2")
-    stand.call(lambda: stand.change_log.append(stand.instance("s-2", started_s=9.0)))
-    stand.call(stand.change_log.resume_listening)
+        wait_for_lookups(fleet, member)
+    assert not requests_received_by(fleet, "s-2")
+    services.call(lambda: services.change_log.append(services.instance("s-2", started_s=9.0)))
+    services.call(services.change_log.resume_listening)
 
     def sent_again() -> bool:
-        serve_lookups(fleet, 0)
-        return sent_to(fleet, "s-2") > 0
+        wait_for_lookups(fleet, 0)
+        return requests_received_by(fleet, "s-2") > 0
 
-    wait_until(sent_again, "work at the warehouse that is back")
+    wait_until(sent_again, "requests at the engine that returned")
 
 
-def test_a_change_log_that_was_renumbered_and_an_address_that_moved_are_taken_over(
+def test_renumbered_change_log_and_moved_address_are_applied(
     start_fleet: StartFleet,
 ) -> None:
     fleet = start_fleet(1, peers=False, confirm_timeout_s=1.0, renumbering_wait_s=2.0)
-    stand = fleet.services
+    services = fleet.services
     for _ in range(5):
-        stand.call(lambda: stand.change_log.append(stand.instance("s-1", "draining")))
+        services.call(lambda: services.change_log.append(services.instance("s-1", "draining")))
     wait_for_list_on_disk(fleet, 6, 0)
     wait_until_open(fleet, 0)
     fleet.blackout()
-    # In the new log s-1 is gone, and s-2 has the address of s-3, which is gone as well.
-    moved = {**stand.instance("s-2"), "hostPort": stand.warehouses["s-3"].address}
-    stand.call(lambda: stand.change_log.renumber(moved))
+    # In the renumbered log s-1 and s-3 are gone, and s-2 has the address of s-3.
+    moved = {**services.instance("s-2"), "hostPort": services.warehouses["s-3"].address}
+    services.call(lambda: services.change_log.renumber(moved))
     fleet.start(0)
     process = fleet.processes[0]
     process.wait_for_log("recovery state restored", seq=6)
     process.wait_for_log("change log renumbered", last_sequence=6, sequence=1)
     wait_until_open(fleet, 0)
-    sent_before = {warehouse: sent_to(fleet, warehouse) for warehouse in stand.warehouses}
-    wait_until(lambda: status(fleet, 0) == "ok ready", "the new list")
-    serve_lookups(fleet, 0)
-    assert sent_to(fleet, "s-1") == sent_before["s-1"]
-    assert sent_to(fleet, "s-2") == sent_before["s-2"]
+    sent_before = {warehouse: requests_received_by(fleet, warehouse) for warehouse in services.warehouses}
+    wait_until(lambda: status(fleet, 0) == "ok ready", "the renumbered list to be in use")
+    wait_for_lookups(fleet, 0)
+    assert requests_received_by(fleet, "s-1") == sent_before["s-1"]
+    assert requests_received_by(fleet, "s-2") == sent_before["s-2"]
     fleet.blackout()
     fleet.start(0)
     fleet.processes[0].wait_for_log("recovery state restored", seq=1)
 
 
-def test_a_load_that_may_have_run_is_never_sent_again_and_a_new_id_is_a_new_load(
+def test_load_that_may_have_run_is_never_sent_again_under_the_same_id(
     start_fleet: StartFleet,
 ) -> None:
     fleet = start_fleet(2)
@@ -287,7 +290,7 @@
     assert reply is not None
     assert reply.kind == "answer"
     assert all_received(warehouses).count(b"%016x" % 7) == 1
-    # The load of before the power loss stays known over a graceful shutdown, the answered one does not.
+    # A graceful shutdown keeps the load from before the power loss and drops the answered one.
     fleet.processes[0].signal(signal.SIGTERM)
     assert fleet.processes[0].wait_until_ended() == 0
     fleet.start(0)
@@ -308,13 +311,14 @@
     fleet.start(1)
     fleet.processes[0].wait_for_log("recovery stage entered", stage="reads")
     client = ThriftClient(fleet.test_beds[0].address)
-    reply = client.wait_for_reply(client.send_request(next(CALLS), "load"))  # loads come last
+    # Loads are served in the last stage only.
+    reply = client.wait_for_reply(client.send_request(next(CALL_IDS), "load"))
     assert reply is not None
     assert reply.kind == "shed"
     assert "left out: s-3; recovery: reads" in status(fleet, 0)
 
 
-def test_a_front_end_that_is_killed_beside_one_that_serves_opens_at_once(start_fleet: StartFleet) -> None:
+def test_restart_next_to_a_serving_peer_opens_at_once(start_fleet: StartFleet) -> None:
     fleet = start_fleet(2)
     wait_until_open(fleet, 0)
     wait_until_open(fleet, 1)
@@ -329,18 +333,18 @@
     shutil.rmtree(directory)
 
 
-def replace_journals(directory: Path) -> None:
+def replace_journals_with_foreign_content(directory: Path) -> None:
     for path in directory.glob("*.journal"):
         path.write_bytes(path.read_bytes().replace(b"-recovery", b"-anything")[:40])
 
 
-def make_lock_unusable(directory: Path) -> None:
+def block_lock_file(directory: Path) -> None:
     shutil.rmtree(directory)
     directory.mkdir()
     (directory / "recovery.n0.lock").mkdir()
 
 
-def make_new_generations_impossible(directory: Path) -> None:
+def block_new_generations(directory: Path) -> None:
     shutil.rmtree(directory)
     directory.mkdir()
     (directory / "recovery.n0.new").mkdir()
@@ -348,7 +352,7 @@
 
 @pytest.fixture
 def blacked_out(start_fleet: StartFleet) -> Fleet:
-    """One front end without peers, whose power is lost after it has written its list."""
+    """One front end without peers that lost power after it had written its endpoint list."""
     fleet = start_fleet(1, peers=False)
     wait_for_list_on_disk(fleet, 1, 0)
     fleet.blackout()
@@ -357,98 +361,102 @@
 
 @pytest.mark.parametrize(
     "damage",
-    [remove_directory, make_lock_unusable, make_new_generations_impossible],
+    [remove_directory, block_lock_file, block_new_generations],
     ids=["missing", "lock unusable", "not writable"],
 )
-def test_a_store_that_is_unavailable_is_logged_once_and_service_goes_on(
+def test_unavailable_store_is_logged_once_and_requests_are_served(
     blacked_out: Fleet, damage: Callable[[Path], None]
 ) -> None:
     damage(blacked_out.recovery_directories[0])
     start_all(blacked_out, 0)
     process = blacked_out.processes[0]
-    serve_lookups(blacked_out, 0)
+    wait_for_lookups(blacked_out, 0)
     process.wait_for_log("recovery store unavailable")
     assert "nothing is kept" in status(blacked_out, 0)
     assert len(process.logged("recovery store unavailable")) == 1
 
 
-def test_a_foreign_journal_is_ignored_and_service_goes_on(blacked_out: Fleet) -> None:
-    replace_journals(blacked_out.recovery_directories[0])
+def test_foreign_journal_is_ignored_and_requests_are_served(blacked_out: Fleet) -> None:
+    replace_journals_with_foreign_content(blacked_out.recovery_directories[0])
     start_all(blacked_out, 0)
-    serve_lookups(blacked_out, 0)
+    wait_for_lookups(blacked_out, 0)
     blacked_out.processes[0].wait_for_log("recovery journal ignored")
 
 
-def test_a_disk_that_stalls_delays_neither_service_nor_operators(start_fleet: StartFleet) -> None:
-    slow = [sys.executable, "-m", "lilacfront.lab.slowdisk", "4.0", *COMMAND[3:]]
+def test_stalled_disk_delays_neither_requests_nor_directives(start_fleet: StartFleet) -> None:
+    slow_disk_command = [sys.executable, "-m", "lilacfront.lab.slowdisk", "4.0", *COMMAND[3:]]
     fleet = start_fleet(1, peers=False, restore_timeout_s=0.5)
     suspend(fleet, 0, "s-2")
     fleet.blackout()
-    fleet.start_commands[0] = slow
+    fleet.start_commands[0] = slow_disk_command
     fleet.start(0)
     process = fleet.processes[0]
     process.wait_for_log("recovery restore timed out")
     wait_until_open(fleet, 0)
-    # The directive on the disk comes late, and holds from then on.
+    # The directive is restored after the timeout and is in force from then on.
     process.wait_for_log("recovery state restored", directives=1)
-    wait_until(lambda: status(fleet, 0).startswith("ok ready; left out: s-2"), "the suspension")
-    sent_before = sent_to(fleet, "s-2")
-    serve_lookups(fleet, 0)
-    assert sent_to(fleet, "s-2") == sent_before
+    wait_until(
+        lambda: status(fleet, 0).startswith("ok ready; left out: s-2"), "the suspension of s-2 to be in force"
+    )
+    sent_before = requests_received_by(fleet, "s-2")
+    wait_for_lookups(fleet, 0)
+    assert requests_received_by(fleet, "s-2") == sent_before
     assert process.admin_request("SUSPEND s-3", timeout_s=3.0).startswith("ok")  # while the disk stalls
 
 
-def test_a_thousand_clients_are_told_when_to_come_back_before_anything_is_served(
+def test_rejections_before_service_begins_have_retry_after_times(
     start_fleet: StartFleet,
 ) -> None:
     fleet = start_fleet(1, peers=False)
-    listen = fleet.test_beds[0].address
+    address = fleet.test_beds[0].address
     fleet.test_beds[0].config_overrides["limits"] = {"sockets": 256}
     fleet.blackout()
     fleet.services.call(fleet.services.change_log.stop_listening)
     fleet.start(0)
     fleet.processes[0].wait_for_log("recovery stage entered", stage="confirming")
-    told = 0
-    last_batch = 950
+    rejected_with_retry_after = 0
+    last_batch_start = 950
     for first in range(0, 1000, 50):
         clients: list[tuple[ThriftClient, int]] = []
         for number in range(first, first + 50):
             try:
-                client = ThriftClient(listen)
+                client = ThriftClient(address)
                 clients.append((client, client.send_request(20_000 + number)))
             except OSError:  # more clients than sockets
                 continue
         for client, seq in clients:
             reply = client.wait_for_reply(seq, must=False)
-            told += reply is not None and reply.kind == "shed" and b"pushback" in reply.fields
-        if first == last_batch:
+            rejected_with_retry_after += (
+                reply is not None and reply.kind == "shed" and b"pushback" in reply.fields
+            )
+        if first == last_batch_start:
             assert status(fleet, 0) == "fail starting; recovery: confirming"
             for client, _ in clients:
                 client.close()
-    assert told >= 900
+    assert rejected_with_retry_after >= 900
     fleet.services.call(fleet.services.change_log.resume_listening)
     wait_until_open(fleet, 0)
-    serve_lookups(fleet, 0)
-    assert socket.create_connection(listen, timeout=5)
+    wait_for_lookups(fleet, 0)
+    assert socket.create_connection(address, timeout=5)
 
 
-def test_a_process_that_takes_over_writes_the_store_once_the_old_one_has_ended(
+def test_new_process_writes_the_store_after_the_old_one_has_ended(
     start_fleet: StartFleet,
 ) -> None:
     fleet = start_fleet(1, peers=False)
-    old = fleet.processes[0]
+    old_process = fleet.processes[0]
     wait_until_open(fleet, 0)
     suspend(fleet, 0, "s-1")
-    new = fleet.start_process(0)
-    new.wait_for_log("recovery store locked")
-    new.wait_for_log("recovery stage entered", stage="open", fleet_outage=False)
-    new.wait_until_ready()
-    assert not new.logged("recovery stage entered", stage="reads")
-    old.signal(signal.SIGTERM)
-    assert old.wait_until_ended() == 0
-    new.wait_for_log("recovery state restored", directives=1, planned_restart=True)
-    fleet.processes[0] = new
-    assert new.admin_request("STATUS") == "ok ready; left out: s-1"
+    new_process = fleet.start_process(0)
+    new_process.wait_for_log("recovery store locked")
+    new_process.wait_for_log("recovery stage entered", stage="open", fleet_outage=False)
+    new_process.wait_until_ready()
+    assert not new_process.logged("recovery stage entered", stage="reads")
+    old_process.signal(signal.SIGTERM)
+    assert old_process.wait_until_ended() == 0
+    new_process.wait_for_log("recovery state restored", directives=1, planned_restart=True)
+    fleet.processes[0] = new_process
+    assert new_process.admin_request("STATUS") == "ok ready; left out: s-1"
     suspend(fleet, 0, "s-2")  # written by the new process
     fleet.blackout()
     start_all(fleet, 0)
--- a/tests/recovery/test_durable_state.py
+++ b/tests/recovery/test_durable_state.py
@@ -1,4 +1,4 @@
-"""The durable state: records add up to it in any order of replay, and it is trusted only for a while."""
+"""Durable state: replay is idempotent, checkpoints are complete, and loads and estimates expire."""
 
 import pytest
 from hypothesis import given, settings
@@ -45,9 +45,7 @@
 
 @given(st.lists(RECORDS, max_size=12), st.data())
 @settings(max_examples=150)
-def test_replaying_records_again_from_any_earlier_point_changes_nothing(
-    records: list[AnyRecord], data: st.DataObject
-) -> None:
+def test_replay_is_idempotent_from_any_earlier_point(records: list[AnyRecord], data: st.DataObject) -> None:
     start = data.draw(st.integers(0, len(records)))
     without_lists = [record for record in records if not isinstance(record, EndpointListRecord)]
     assert checkpoint_of(replay([*without_lists, *without_lists[start:]])) == checkpoint_of(
@@ -76,12 +74,12 @@
         pytest.param(100.0 + LOAD_TTL_S, False, id="sent long ago"),
     ],
 )
-def test_a_load_without_an_answer_may_have_run_for_a_while(now: float, may_have_run: bool) -> None:
+def test_unanswered_load_may_have_run_until_its_ttl(now: float, may_have_run: bool) -> None:
     state = replay([LoadStartedRecord(b"a", 100.0)])
     assert state.may_have_run(b"a", now) is may_have_run
 
 
-def test_a_load_with_its_answer_is_forgotten() -> None:
+def test_answered_load_is_removed() -> None:
     state = replay([LoadStartedRecord(b"b", 100.0), LoadFinishedRecord(b"b")])
     assert not state.may_have_run(b"b", 101.0)
 
@@ -120,8 +118,8 @@
 
 
 @pytest.fixture
-def listed() -> DurableState:
-    """Three warehouses as of event 6, one of them draining."""
+def populated_state() -> DurableState:
+    """A state with three engines as of event 6, one of them draining."""
     return replay(
         [
             EndpointListRecord(5, True, (endpoint_entry(1), endpoint_entry(2))),
@@ -130,16 +128,16 @@
     )
 
 
-def test_an_older_list_changes_nothing(listed: DurableState) -> None:
-    listed.apply(EndpointListRecord(4, True, ()))
-    lifecycles = {entry.instance_id: entry.lifecycle for entry in listed.endpoints.values()}
+def test_an_older_list_changes_nothing(populated_state: DurableState) -> None:
+    populated_state.apply(EndpointListRecord(4, True, ()))
+    lifecycles = {entry.instance_id: entry.lifecycle for entry in populated_state.endpoints.values()}
     assert lifecycles == {"s-1": "ready", "s-2": "draining", "s-3": "ready"}
 
 
-def test_after_a_reset_of_the_change_log_lower_numbers_count_and_entries_stay(listed: DurableState) -> None:
-    listed.apply(EndpointListRecord(4, True, ()))
-    listed.apply(ChangeLogResetRecord())
-    listed.apply(EndpointListRecord(1, False, (endpoint_entry(3, "gone"),)))
-    assert listed.list_seq == 1
-    assert "s-3" not in listed.endpoints
-    assert listed.endpoints["s-2"].lifecycle == "draining"
+def test_change_log_reset_accepts_lower_numbers_and_keeps_entries(populated_state: DurableState) -> None:
+    populated_state.apply(EndpointListRecord(4, True, ()))
+    populated_state.apply(ChangeLogResetRecord())
+    populated_state.apply(EndpointListRecord(1, False, (endpoint_entry(3, "gone"),)))
+    assert populated_state.list_seq == 1
+    assert "s-3" not in populated_state.endpoints
+    assert populated_state.endpoints["s-2"].lifecycle == "draining"
--- a/tests/recovery/test_journal_file.py
+++ b/tests/recovery/test_journal_file.py
@@ -1,4 +1,4 @@
-"""Journal files: what is damaged or foreign is named, and nothing raises but `StoreError`."""
+"""Journal files: damage and foreign journals are reported, and the only error raised is `StoreError`."""
 
 from collections.abc import Callable
 
@@ -41,7 +41,7 @@
         pytest.param(lambda _data: b"", "not a recovery journal", id="empty"),
         pytest.param(lambda _data: b"something else", "not a recovery journal", id="other content"),
         pytest.param(lambda data: data[:20], "no header", id="magic alone"),
-        pytest.param(lambda data: data.replace(b"n0", b"n1"), "no header", id="checksum of the header"),
+        pytest.param(lambda data: data.replace(b"n0", b"n1"), "no header", id="wrong checksum of the header"),
     ],
 )
 def test_a_file_without_a_usable_header_is_an_error(damage: Callable[[bytes], bytes], error: str) -> None:
@@ -52,10 +52,10 @@
 @pytest.mark.parametrize(
     ("name", "site", "version", "error"),
     [
-        ("n1", "here", FORMAT_VERSION, "another front end, 'n1'"),
-        ("n0", "there", FORMAT_VERSION, "another site, 'there'"),
-        ("n0", "here", FORMAT_VERSION + 1, "of version 2, not 1"),
-        ("n0", "here", 0, "of version 0, not 1"),
+        ("n1", "here", FORMAT_VERSION, "belongs to another front end, 'n1'"),
+        ("n0", "there", FORMAT_VERSION, "belongs to another site, 'there'"),
+        ("n0", "here", FORMAT_VERSION + 1, "format version 2, expected 1"),
+        ("n0", "here", 0, "format version 0, expected 1"),
     ],
 )
 def test_a_journal_of_another_owner_site_or_version_is_an_error(
@@ -73,13 +73,13 @@
     assert tuple(contents.records[-len(RECORDS) :]) == RECORDS
 
 
-def test_a_journal_that_was_cut_off_keeps_the_records_before_and_names_the_place() -> None:
+def test_truncated_journal_keeps_earlier_records_and_reports_the_offset() -> None:
     contents = decode_journal(JOURNAL[:-1], "n0", "here")
     assert contents.damage.startswith("incomplete from byte ")
     assert tuple(contents.records[1 - len(RECORDS) :]) == RECORDS[:-1]
 
 
-def test_a_frame_of_no_record_ends_a_journal_and_is_named() -> None:
+def test_undecodable_record_ends_the_journal_and_is_reported() -> None:
     contents = decode_journal(JOURNAL + encode_frame(b"junk"), "n0", "here")
     assert contents.damage.startswith("record 7 is unreadable")
     assert tuple(contents.records[-len(RECORDS) :]) == RECORDS
--- a/tests/recovery/test_journal_writer.py
+++ b/tests/recovery/test_journal_writer.py
@@ -1,4 +1,4 @@
-"""The journal writer: one restore, then records and checkpoints on the disk without waiting for it."""
+"""Journal writer: one restore, then records and checkpoints are written without blocking the caller."""
 
 from collections.abc import Iterator
 from contextlib import closing
@@ -44,7 +44,7 @@
     assert checkpoint_of(result.state) == checkpoint_of(DurableState())
 
 
-def test_records_behind_a_checkpoint_are_restored_by_the_next_process(
+def test_records_after_a_checkpoint_are_restored_by_the_next_process(
     tmp_path: Path, writer: JournalWriter
 ) -> None:
     write_first_checkpoint(writer)
@@ -54,15 +54,15 @@
     assert checkpoint_of(open_store(tmp_path).restore()) == checkpoint_of(replay(RECORDS))
 
 
-def test_a_journal_that_is_too_large_is_followed_by_a_new_generation(tmp_path: Path) -> None:
+def test_oversized_journal_requests_a_checkpoint(tmp_path: Path) -> None:
     with closing(open_writer(tmp_path, max_journal_bytes=1)) as writer:
         write_first_checkpoint(writer)
         wait_until(lambda: writer.needs_checkpoint, "another checkpoint")
 
 
-def test_more_records_than_the_queue_holds_are_left_to_a_checkpoint(tmp_path: Path) -> None:
+def test_full_queue_requests_a_checkpoint(tmp_path: Path) -> None:
     lock_holder = open_store(tmp_path)
-    lock_holder.lock()  # so that the writer takes nothing from its queue
+    lock_holder.lock()  # keeps the writer from emptying its queue
     with closing(open_writer(tmp_path)) as writer:
         for number in range(MAX_QUEUED_RECORDS):
             writer.append(IncarnationRecord(number))
@@ -72,13 +72,13 @@
     lock_holder.close()
 
 
-def test_a_missing_directory_restores_nothing_and_is_named(tmp_path: Path) -> None:
+def test_missing_directory_restores_nothing_and_is_reported(tmp_path: Path) -> None:
     with closing(open_writer(tmp_path / "missing")) as writer:
         assert writer.restored.get(timeout=TIMEOUT_S).state is None
         assert "missing" in writer.failure
 
 
-def test_a_locked_store_is_reported_at_once_and_restored_once_the_lock_is_free(tmp_path: Path) -> None:
+def test_locked_store_is_reported_at_once_and_restored_after_unlock(tmp_path: Path) -> None:
     lock_holder = open_store(tmp_path)
     lock_holder.lock()
     with closing(open_writer(tmp_path)) as writer:
--- a/tests/recovery/test_pinned_coordinator.py
+++ b/tests/recovery/test_pinned_coordinator.py
@@ -1,4 +1,4 @@
-"""Decisions of the coordinator as a whole, pinned to those of the program before its names changed."""
+"""Decisions of the whole coordinator equal those recorded before identifiers were renamed."""
 
 import hashlib
 import json
@@ -41,7 +41,7 @@
 
 
 class RecordingHost(RecoveryHost):
-    """A host that logs everything recovery does to it."""
+    """A host that logs every change that recovery makes."""
 
     def __init__(self) -> None:
         self.log: list[object] = []
@@ -81,7 +81,7 @@
 
 
 class Driver:
-    """A coordinator without a server, on a clock of the test."""
+    """Drives a coordinator without a server, on a simulated clock."""
 
     def __init__(self, directory: Path, usable: bool) -> None:
         self.directory = directory
@@ -149,15 +149,15 @@
         self.coordinator.record_directive(OperatorDirective(name, number, "a.2", True, 1.0, 1.0))
 
     def status(self) -> tuple[str, bool]:
-        note = self.coordinator.status_note().replace(str(self.directory), "DIRECTORY")
-        return note, self.coordinator.unavailable
+        suffix = self.coordinator.status_suffix().replace(str(self.directory), "DIRECTORY")
+        return suffix, self.coordinator.unavailable
 
     def close(self) -> None:
         self.coordinator.close()
 
 
 def decisions(driver: Any, seed: int, confirmed_at: float) -> Iterator[object]:
-    """What a coordinator decides over a seeded stream of events."""
+    """Yield the decisions of a coordinator for a seeded random sequence of events."""
     rng = random.Random(seed)
     driver.endpoints(1, [("127.0.0.1:1", "s-50", "ready")])
     while not driver.restored():
@@ -193,14 +193,14 @@
 
 
 def digest_of(driver: Any, seed: int, confirmed_at: float) -> str:
-    found = hashlib.sha256()
+    digest = hashlib.sha256()
     for decision in decisions(driver, seed, confirmed_at):
-        found.update(repr(decision).encode() + b"\n")
-    return found.hexdigest()
+        digest.update(repr(decision).encode() + b"\n")
+    return digest.hexdigest()
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_the_coordinator_decides_as_pinned(tmp_path: Path, case: str) -> None:
+def test_coordinator_decisions_match_the_pinned_digest(tmp_path: Path, case: str) -> None:
     usable, seed, confirmed_at = CASES[case]
     directory = tmp_path / "store"
     shutil.copytree(FIXTURES / "store", directory)
--- a/tests/recovery/test_pinned_store.py
+++ b/tests/recovery/test_pinned_store.py
@@ -1,4 +1,4 @@
-"""Bytes and decisions of recovery, pinned to those of the program before its names changed."""
+"""Stored bytes, messages and decisions of recovery equal those recorded before identifiers were renamed."""
 
 import hashlib
 import json
@@ -30,17 +30,24 @@
 from lilacfront.recovery.store import Store
 
 FIXTURES = Path(__file__).parents[1] / "fixtures" / "recovery"
-NAME, SITE = "front.0/a", "hall-1"  # characters that a file name can't hold are replaced
+NAME, SITE = "front.0/a", "hall-1"  # the store replaces characters that a file name can't contain
 
 
-def entry(n: int, lifecycle: str = "ready") -> records.EndpointEntry:
+def entry(number: int, lifecycle: str = "ready") -> records.EndpointEntry:
     return records.EndpointEntry(
-        f"s-{n}", f"127.0.0.1:{9000 + n}", lifecycle, "hall-a", "c12", n % 3, 1.5, 5.25 * n
+        f"s-{number}",
+        f"127.0.0.1:{9000 + number}",
+        lifecycle,
+        "hall-a",
+        "c12",
+        number % 3,
+        1.5,
+        5.25 * number,
     )
 
 
-def directive(name: str, number: int, on: bool = True, by: str = "a.1") -> OperatorDirective:
-    return OperatorDirective(name, number, by, on, 1.5, 2.5)
+def directive(target: str, revision: int, active: bool = True, author: str = "a.1") -> OperatorDirective:
+    return OperatorDirective(target, revision, author, active, 1.5, 2.5)
 
 
 EVERY_KIND: tuple[records.AnyRecord, ...] = (
@@ -49,8 +56,8 @@
     records.EndpointListRecord(4, False, (entry(3, "gone"), entry(4))),
     records.ChangeLogResetRecord(),
     records.DirectiveRecord(directive("s-1", 1)),
-    records.DirectiveRecord(directive("", 2, on=False)),
-    records.PeerDirectiveRecord(2, directive("s-2", 5, by="b.9")),
+    records.DirectiveRecord(directive("", 2, active=False)),
+    records.PeerDirectiveRecord(2, directive("s-2", 5, author="b.9")),
     records.LoadStartedRecord(b"\x00load-1", 100.5),
     records.LoadStartedRecord(b"load-2", 101.0),
     records.LoadFinishedRecord(b"load-2"),
@@ -61,7 +68,7 @@
 
 
 def write_store(directory: Path) -> None:
-    """Two generations: the older with every kind of record appended, the newer a checkpoint of them."""
+    """Write two generations: one with a record of every kind, then a checkpoint with two records after it."""
     store = Store(str(directory), NAME, SITE)
     store.restore()
     store.begin_generation(DurableState().checkpoint())
@@ -69,16 +76,18 @@
         store.append(encode_frame(records.encode_record(record)))
     store.begin_generation(list(replay(EVERY_KIND).checkpoint()))
     store.append(encode_frame(records.encode_record(records.EndpointListRecord(1, False, (entry(9),)))))
-    store.append(encode_frame(records.encode_record(records.DirectiveRecord(directive("s-1", 3, on=False)))))
+    store.append(
+        encode_frame(records.encode_record(records.DirectiveRecord(directive("s-1", 3, active=False))))
+    )
     store.close()
 
 
-def all_encoded(state: DurableState) -> bytes:
+def encode_checkpoint(state: DurableState) -> bytes:
     return b"".join(encode_frame(records.encode_record(record)) for record in state.checkpoint())
 
 
 # ---- startup stages -------------------------------------------------------------------------------------
-EFFECTS = [Idempotency(value) for value in ("safe", "keyed", "unsafe", "safe", "unsafe")]
+IDEMPOTENCY_VALUES = [Idempotency(value) for value in ("safe", "keyed", "unsafe", "safe", "unsafe")]
 
 
 def startup_decisions() -> Iterator[tuple[object, ...]]:
@@ -101,7 +110,7 @@
                 int(stage),
                 stages.endpoints_stale,
                 stages.fleet_outage,
-                *[stages.earliest_start(s, now) for s in RecoveryStage],
+                *[stages.earliest_start(later_stage, now) for later_stage in RecoveryStage],
             )
     for _ in range(40):
         classes = tuple(
@@ -110,7 +119,7 @@
                 4_000_000,
                 1.0,
                 rng.randrange(1, 4),
-                rng.choice(EFFECTS),
+                rng.choice(IDEMPOTENCY_VALUES),
             )
             for _ in range(rng.randrange(1, 6))
         )
@@ -124,10 +133,10 @@
 
 def retry_after_decisions() -> Iterator[object]:
     rng = random.Random(12)
-    for most_s in (0.0, 2.0, 10.0):
+    for max_retry_after_s in (0.0, 2.0, 10.0):
         for cold in (0.25, 1.0):
             warming = warm_up_curve(cold, 4.0, 1.0)
-            scheduler = RetryAfterScheduler(_scaled(warming, 8.0), 0, most_s, 3)
+            scheduler = RetryAfterScheduler(_scaled(warming, 8.0), 0, max_retry_after_s, 3)
             now = 0.5
             calls = [b"%d" % n for n in range(150)]
             for _ in range(3000):
@@ -144,12 +153,12 @@
 
 # ---- the exchange of state ------------------------------------------------------------------------------
 class LoggingFrontEnd(InMemoryFrontEnd):
-    """Keeps a log of what it was given, in the form that was pinned."""
+    """Logs the state it receives, in the form of the recorded log."""
 
     def __init__(self, log: list[object], number: int) -> None:
         super().__init__(number)
         self.log = log
-        self.recovering_stage = 1
+        self.stage_while_recovering = 1
 
     def merge_peer_directives(self, owner: int, directives: list[OperatorDirective]) -> None:
         self._log_directives("kept", directives)
@@ -162,46 +171,50 @@
     def apply_peer_ready_list(self, peer: int, seq: int, short_ids: set[int]) -> None:
         self.log.append((peer, seq, sorted(short_ids)))
 
-    def _log_directives(self, what: str, directives: list[OperatorDirective]) -> None:
-        self.log.append((what, [msgspec.msgpack.encode(record).hex() for record in directives]))
+    def _log_directives(self, label: str, directives: list[OperatorDirective]) -> None:
+        self.log.append((label, [msgspec.msgpack.encode(record).hex() for record in directives]))
 
 
-def _change(rng: random.Random, side: LoggingFrontEnd, number: int, step: int) -> None:
+def _change_at_random(rng: random.Random, front_end: LoggingFrontEnd, number: int, step: int) -> None:
     match rng.randrange(5):
         case 0:
             name = f"s-{rng.randrange(30)}"
-            side.own[name] = directive(name, step, on=rng.random() < 0.7, by=f"{number}.1")
+            front_end.directives[name] = directive(
+                name, step, active=rng.random() < 0.7, author=f"{number}.1"
+            )
         case 1:
-            side.listed = ReadyList(step, [f"s-{n}" for n in range(rng.randrange(200))])
+            front_end.current_ready_list = ReadyList(step, [f"s-{n}" for n in range(rng.randrange(200))])
         case 2:
-            side.is_recovering = not side.is_recovering
+            front_end.is_recovering = not front_end.is_recovering
         case 3 if rng.random() < 0.3:
-            side.own = {}
+            front_end.directives = {}
         case 4 if rng.random() < 0.3:
-            side.replicas.pop(rng.randrange(3), None)
-    side.exchange.invalidate()
+            front_end.replicas.pop(rng.randrange(3), None)
+    front_end.exchange.invalidate()
 
 
 def exchange_decisions() -> Iterator[object]:
     rng = random.Random(13)
     log: list[object] = []
-    sides = [LoggingFrontEnd(log, number) for number in range(3)]
+    front_ends = [LoggingFrontEnd(log, number) for number in range(3)]
     for step in range(400):
         now = step * 0.2
         number = rng.randrange(3)
-        _change(rng, sides[number], number, step)
-        hostile_items: list[Item] = [
+        _change_at_random(rng, front_ends[number], number, step)
+        invalid_items: list[Item] = [
             StateDigest(9, step, ((rng.randrange(5), step, 60_000),)),
             ChunkRequest(rng.randrange(5), step, rng.randrange(400)),
             StateChunk(rng.randrange(5), step, 0, b"\xff" * 20),
         ]
-        hostile = rng.choice(hostile_items)
-        queue: list[tuple[int, int, Item]] = [(rng.randrange(3), number, hostile)]
+        invalid_item = rng.choice(invalid_items)
+        queue: list[tuple[int, int, Item]] = [(rng.randrange(3), number, invalid_item)]
         for sender in range(3):
             for receiver in range(3):
                 if sender != receiver:
-                    queue += [(sender, receiver, item) for item in sides[sender].exchange.collect(now, 100)]
-            queue += [(sender, peer, item) for peer, item in sides[sender].exchange.retries_due(now)]
+                    queue += [
+                        (sender, receiver, item) for item in front_ends[sender].exchange.collect(now, 100)
+                    ]
+            queue += [(sender, peer, item) for peer, item in front_ends[sender].exchange.collect_retries(now)]
         while queue:
             sender, receiver, item = queue.pop(0)
             message = encode(Message(sender, 1, 1, 1, (item,)))
@@ -210,12 +223,12 @@
                 continue
             (arrived,) = decode(message).items
             assert isinstance(arrived, StateDigest | ChunkRequest | StateChunk)
-            answers = sides[receiver].exchange.receive(now, sender, arrived)
+            answers = front_ends[receiver].exchange.receive(now, sender, arrived)
             queue += [(receiver, sender, answer) for answer in answers]
-        for side in sides:
+        for front_end in front_ends:
             yield (
-                sorted(side.exchange.disagreeing_peers),
-                [side.exchange.any_peer_at_stage(now, stage) for stage in range(6)],
+                sorted(front_end.exchange.disagreeing_peers),
+                [front_end.exchange.any_peer_at_stage(now, stage) for stage in range(6)],
             )
     yield log
 
@@ -228,43 +241,43 @@
 
 
 def digest_of(name: str) -> list[object]:
-    """How many decisions there were, and a hash over all of them."""
-    found, count = hashlib.sha256(), 0
+    """Number of decisions and a SHA-256 digest over all of them."""
+    digest, count = hashlib.sha256(), 0
     for decision in DECISIONS[name]():
-        found.update(repr(decision).encode() + b"\n")
+        digest.update(repr(decision).encode() + b"\n")
         count += 1
-    return [count, found.hexdigest()]
+    return [count, digest.hexdigest()]
 
 
 # ---- tests ----------------------------------------------------------------------------------------------
-def pinned() -> dict[str, list[object]]:
-    found: dict[str, list[object]] = json.loads((FIXTURES / "decisions.json").read_text())
-    return found
+def pinned_digests() -> dict[str, list[object]]:
+    digests: dict[str, list[object]] = json.loads((FIXTURES / "decisions.json").read_text())
+    return digests
 
 
 @pytest.mark.parametrize("name", DECISIONS)
-def test_decisions_are_those_that_were_pinned(name: str) -> None:
-    assert digest_of(name) == pinned()[name]
+def test_decisions_match_the_pinned_digest(name: str) -> None:
+    assert digest_of(name) == pinned_digests()[name]
 
 
-@pytest.mark.parametrize("place", range(len(EVERY_KIND)))
-def test_each_record_is_framed_in_the_pinned_bytes_and_read_back(place: int) -> None:
-    line = (FIXTURES / "records.hex").read_text().splitlines()[place]
-    assert encode_frame(records.encode_record(EVERY_KIND[place])).hex() == line
-    assert records.decode_record(bytes.fromhex(line)[8:]) == EVERY_KIND[place]
+@pytest.mark.parametrize("index", range(len(EVERY_KIND)))
+def test_each_record_is_encoded_as_pinned_and_decoded_again(index: int) -> None:
+    line = (FIXTURES / "records.hex").read_text().splitlines()[index]
+    assert encode_frame(records.encode_record(EVERY_KIND[index])).hex() == line
+    assert records.decode_record(bytes.fromhex(line)[8:]) == EVERY_KIND[index]
 
 
-def test_a_store_writes_the_pinned_files(tmp_path: Path) -> None:
+def test_store_writes_the_pinned_files(tmp_path: Path) -> None:
     write_store(tmp_path)
-    wanted = {path.name: path.read_bytes() for path in (FIXTURES / "store").iterdir()}
-    assert len(wanted) == 2
-    assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == wanted
+    expected = {path.name: path.read_bytes() for path in (FIXTURES / "store").iterdir()}
+    assert len(expected) == 2
+    assert {path.name: path.read_bytes() for path in tmp_path.iterdir()} == expected
 
 
 @pytest.mark.parametrize("generations", ["both", "older", "newer"])
-def test_the_pinned_files_are_read_back_into_the_same_state(tmp_path: Path, generations: str) -> None:
+def test_pinned_files_restore_the_pinned_state(tmp_path: Path, generations: str) -> None:
     for path in (FIXTURES / "store").iterdir():
         if generations == "both" or path.name.split(".")[-2] == {"older": "1", "newer": "2"}[generations]:
             shutil.copy(path, tmp_path)
     state = Store(str(tmp_path), NAME, SITE).restore()
-    assert all_encoded(state) == (FIXTURES / f"checkpoint-{generations}.bin").read_bytes()
+    assert encode_checkpoint(state) == (FIXTURES / f"checkpoint-{generations}.bin").read_bytes()
--- a/tests/recovery/test_restored_endpoints.py
+++ b/tests/recovery/test_restored_endpoints.py
@@ -1,4 +1,4 @@
-"""The restored endpoint list with what peers know better, and with cold engines."""
+"""Corrections of the restored endpoint list by newer lists of peers and by start times."""
 
 import pytest
 from recovery_helpers import endpoint_entry
@@ -18,27 +18,27 @@
     return {endpoint.instance_id: endpoint.lifecycle for endpoint in endpoints.update(state).endpoints}
 
 
-def test_engines_that_a_newer_list_of_a_peer_does_not_show_as_ready_are_draining(state: DurableState) -> None:
+def test_engines_missing_from_a_newer_peer_list_are_draining(state: DurableState) -> None:
     endpoints = RestoredEndpoints()
     assert endpoints.restrict(state, 6, {short_id("s-1")})
     assert endpoints.restricted
     assert lifecycles(endpoints, state) == {"s-1": "ready", "s-2": "draining"}
 
 
-def test_an_older_list_of_a_peer_changes_nothing(state: DurableState) -> None:
+def test_peer_list_that_is_not_newer_is_ignored(state: DurableState) -> None:
     endpoints = RestoredEndpoints()
     assert not endpoints.restrict(state, 5, set())
     assert lifecycles(endpoints, state) == {"s-1": "ready", "s-2": "ready"}
 
 
-def test_of_two_peers_lists_the_newer_one_counts(state: DurableState) -> None:
+def test_newer_of_two_peer_lists_is_used(state: DurableState) -> None:
     endpoints = RestoredEndpoints()
     endpoints.restrict(state, 7, {short_id("s-2")})
     assert not endpoints.restrict(state, 6, {short_id("s-1")})
     assert lifecycles(endpoints, state) == {"s-1": "draining", "s-2": "ready"}
 
 
-def test_a_lifted_restriction_gives_all_engines_back(state: DurableState) -> None:
+def test_lifting_the_restriction_restores_all_engines(state: DurableState) -> None:
     endpoints = RestoredEndpoints()
     endpoints.restrict(state, 6, set())
     endpoints.lift_restriction()
@@ -46,7 +46,7 @@
     assert lifecycles(endpoints, state) == {"s-1": "ready", "s-2": "ready"}
 
 
-def test_engines_that_were_restarted_count_as_started_no_earlier(state: DurableState) -> None:
+def test_mark_restarted_raises_start_times(state: DurableState) -> None:
     endpoints = RestoredEndpoints()
     endpoints.mark_restarted(2.0)
     assert {endpoint.started_at_ms for endpoint in endpoints.update(state).endpoints} == {2000.0}
--- a/tests/recovery/test_settings.py
+++ b/tests/recovery/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of recovery."""
+"""Parsing of the recovery settings file."""
 
 import pytest
 
@@ -14,7 +14,7 @@
         (b"[recovery]\ndirectroy = 'x'", "directroy"),
     ],
 )
-def test_an_unusable_setting_is_an_error_that_names_the_key_of_the_file(text: bytes, key: str) -> None:
+def test_invalid_setting_is_an_error_that_names_the_key(text: bytes, key: str) -> None:
     with pytest.raises(RecoverySettingsError, match=key):
         parse(text)
 
--- a/tests/recovery/test_startup_stages.py
+++ b/tests/recovery/test_startup_stages.py
@@ -1,4 +1,4 @@
-"""The stages of a start: when each begins, and that none waits forever."""
+"""Startup stages: the time at which each begins, and that every stage ends."""
 
 from dataclasses import fields
 
@@ -18,7 +18,7 @@
 SETTINGS = RecoverySettings(
     directory="x", confirm_timeout_s=10.0, short_reads_stage_s=3.0, idempotent_stage_s=2.0
 )
-LONGEST_S = (
+MAX_TOTAL_S = (
     SETTINGS.restore_timeout_s
     + SETTINGS.confirm_timeout_s
     + SETTINGS.short_reads_stage_s
@@ -86,25 +86,25 @@
 
 
 @pytest.fixture
-def short_reads() -> StartupStages:
-    """A start after a power loss that has just begun to serve short requests."""
+def stages_at_short_reads() -> StartupStages:
+    """Stages after a power loss, in the stage SHORT_READS since time 0."""
     stages = StartupStages(SETTINGS, 0.0)
     assert stages.advance(0.0, READY) is RecoveryStage.SHORT_READS
     return stages
 
 
-def test_after_a_power_loss_the_warehouses_count_as_cold(short_reads: StartupStages) -> None:
-    assert short_reads.fleet_outage
+def test_engines_count_as_cold_after_a_power_loss(stages_at_short_reads: StartupStages) -> None:
+    assert stages_at_short_reads.fleet_outage
 
 
-def test_the_beginning_of_later_stages_is_foreseen(short_reads: StartupStages) -> None:
-    assert short_reads.earliest_start(RecoveryStage.IDEMPOTENT, 1.0) == 3.0
-    assert short_reads.earliest_start(RecoveryStage.OPEN, 1.0) == 5.0
+def test_earliest_start_of_later_stages(stages_at_short_reads: StartupStages) -> None:
+    assert stages_at_short_reads.earliest_start(RecoveryStage.IDEMPOTENT, 1.0) == 3.0
+    assert stages_at_short_reads.earliest_start(RecoveryStage.OPEN, 1.0) == 5.0
 
 
-def test_a_peer_that_serves_opens_service_at_once(short_reads: StartupStages) -> None:
+def test_serving_peer_opens_service_at_once(stages_at_short_reads: StartupStages) -> None:
     serving = StartupConditions(restored=True, endpoints_confirmed=True, peer_serving=True)
-    assert short_reads.advance(0.2, serving) is RecoveryStage.OPEN
+    assert stages_at_short_reads.advance(0.2, serving) is RecoveryStage.OPEN
 
 
 def test_classes_are_admitted_by_length_and_idempotency() -> None:
@@ -135,7 +135,7 @@
         stage = stages.advance(now, conditions)
         assert stage >= previous
         previous = stage
-    assert stages.advance(now + LONGEST_S, StartupConditions()) is not RecoveryStage.RESTORING
+    assert stages.advance(now + MAX_TOTAL_S, StartupConditions()) is not RecoveryStage.RESTORING
     for turn in range(1, 6):
-        stages.advance(now + turn * LONGEST_S, StartupConditions(directives_agree=False))
+        stages.advance(now + turn * MAX_TOTAL_S, StartupConditions(directives_agree=False))
     assert stages.stage is RecoveryStage.OPEN
--- a/tests/recovery/test_store.py
+++ b/tests/recovery/test_store.py
@@ -1,4 +1,4 @@
-"""The store: what was written is read back, wherever the process ends or the power is lost."""
+"""Store: synced records are restored after a crash or power loss at any step, and after damage."""
 
 import os
 import random
@@ -33,7 +33,7 @@
 
 
 def write_generation(directory: Path, *records: AnyRecord) -> Path:
-    """A new generation with an empty checkpoint and these records behind it."""
+    """Write a generation with an empty checkpoint followed by these records; returns its path."""
     store = open_store(directory)
     store.restore()
     store.begin_generation(DurableState().checkpoint())
@@ -42,12 +42,10 @@
     return directory / f"{store.stem}.{store.generation}.journal"
 
 
-@pytest.mark.parametrize("power", [False, True])
+@pytest.mark.parametrize("power_loss", [False, True])
 @pytest.mark.parametrize("second_end", [0, 1, 5, 12])
-def test_wherever_the_process_ends_or_the_power_is_lost_what_was_synced_is_read_back(
-    power: bool, second_end: int
-) -> None:
-    result = sweep(power, second_end)
+def test_synced_records_survive_a_crash_or_power_loss_at_any_step(power_loss: bool, second_end: int) -> None:
+    result = sweep(power_loss, second_end)
     assert result.points > 100
     assert (result.wrong, result.failed) == (0, 0)
 
@@ -56,21 +54,21 @@
     assert sweep(True, syncs=False).wrong > 0
 
 
-def test_a_journal_cut_or_flipped_at_any_byte_restores_a_state_it_held(tmp_path: Path) -> None:
+def test_truncated_or_corrupted_journal_restores_an_earlier_state(tmp_path: Path) -> None:
     path = write_generation(tmp_path, *RECORDS)
     journal = path.read_bytes()
     states = [checkpoint_of(DurableState())]
     states += [checkpoint_of(replay(RECORDS[:count])) for count in range(len(RECORDS) + 1)]
     rng = random.Random(1)
-    for place in range(0, len(journal), 2):
-        flipped = bytearray(journal)
-        flipped[place] ^= 1 << rng.randrange(8)
-        for damaged in (journal[:place], bytes(flipped)):
+    for offset in range(0, len(journal), 2):
+        corrupted = bytearray(journal)
+        corrupted[offset] ^= 1 << rng.randrange(8)
+        for damaged in (journal[:offset], bytes(corrupted)):
             path.write_bytes(damaged)
             assert checkpoint_of(open_store(tmp_path).restore()) in states
 
 
-def test_a_damaged_newest_generation_leaves_the_one_before(tmp_path: Path) -> None:
+def test_damaged_newest_generation_falls_back_to_the_previous_one(tmp_path: Path) -> None:
     write_generation(tmp_path, *RECORDS)
     newest = write_generation(tmp_path, DirectiveRecord(directive("s-2", 2)))
     newest.write_bytes(newest.read_bytes()[:30])
@@ -90,7 +88,7 @@
     assert "s-3" in open_store(tmp_path).restore().directives
 
 
-def test_a_store_that_is_locked_can_be_locked_again_only_after_it_is_closed(tmp_path: Path) -> None:
+def test_store_can_be_locked_again_only_after_it_is_closed(tmp_path: Path) -> None:
     first, second = open_store(tmp_path), open_store(tmp_path)
     first.lock()
     with pytest.raises(StoreLockedError):
