--- a/lilacfront/recovery/host.py
+++ b/lilacfront/recovery/host.py
@@ -17,7 +17,7 @@
         ...
 
     def endpoints_confirmed(self) -> bool:
-        """Whether the change log has delivered all its events, or there is none."""
+        """Whether the change log has delivered all its events, or the front end has no change log."""
         ...
 
     def apply_endpoints(self, update: EndpointUpdate) -> None:
--- a/lilacfront/recovery/startup_stages.py
+++ b/lilacfront/recovery/startup_stages.py
@@ -1,8 +1,7 @@
 """State machine of the stages in which service returns after a power loss. No I/O; times are in seconds.
 
-Every stage has a timeout, so that no front end waits forever for another. After a planned restart the
-engines are warm and all stages are passed at once. A restart counts as planned if the store was closed
-cleanly or a peer is serving.
+Every stage has a timeout, so that no front end waits forever for another. If the restart was planned (the
+store was closed cleanly) or a peer is serving, the engines are warm, and the stage OPEN follows CONFIRMING.
 """
 
 from __future__ import annotations
--- a/tests/recovery/test_pinned_coordinator.py
+++ b/tests/recovery/test_pinned_coordinator.py
@@ -97,7 +97,7 @@
             idempotent_stage_s=1.5,
         )
         dispatcher = SimpleNamespace(
-            router=RequestRouter(policy, SEED), set_admission_policy=self._set_policy
+            router=RequestRouter(policy, SEED), set_admission_policy=self._set_admission_policy
         )
         self.coordinator = RecoveryCoordinator(
             cast(Loop, self.loop),
@@ -109,7 +109,7 @@
             self.host,
         )
 
-    def _set_policy(self, policy: AdmissionPolicy) -> None:
+    def _set_admission_policy(self, policy: AdmissionPolicy) -> None:
         self.policy = policy
 
     def set_confirmed(self, confirmed: bool, seq: int) -> None:
@@ -125,7 +125,7 @@
     def step(self) -> None:
         assert self.coordinator.step() == []
 
-    def answer(self, call_id: bytes, class_index: int) -> object:
+    def admission_result(self, call_id: bytes, class_index: int) -> object:
         answer = self.policy.admission_answer(Request(call_id, class_index, 1e9, b""))
         if answer is None:
             return None
@@ -134,19 +134,19 @@
     def retry_after(self, call_id: bytes, class_index: int, proposed_ms: int) -> int:
         return self.policy.retry_after_ms(Request(call_id, class_index, 1e9, b""), proposed_ms)
 
-    def load(self, call_id: bytes, forwarded: bool) -> None:
+    def record_load(self, call_id: bytes, forwarded: bool) -> None:
         request = Request(call_id, 3, 1e9, b"")
         if forwarded:
             self.policy.load_forwarded(request)
         else:
             self.policy.load_answered(request)
 
-    def endpoints(self, seq: int, entries: list[tuple[str, str, str]]) -> None:
+    def record_endpoints(self, seq: int, entries: list[tuple[str, str, str]]) -> None:
         update = EndpointUpdate(0, False, [EndpointRecord(*entry) for entry in entries])
         self.coordinator.record_endpoints(seq, update)
 
-    def directive(self, name: str, number: int) -> None:
-        self.coordinator.record_directive(OperatorDirective(name, number, "a.2", True, 1.0, 1.0))
+    def record_directive(self, target: str, revision: int) -> None:
+        self.coordinator.record_directive(OperatorDirective(target, revision, "a.2", True, 1.0, 1.0))
 
     def status(self) -> tuple[str, bool]:
         suffix = self.coordinator.status_suffix().replace(str(self.directory), "DIRECTORY")
@@ -159,7 +159,7 @@
 def decisions(driver: Any, seed: int, confirmed_at: float) -> Iterator[object]:
     """Yield the decisions of a coordinator for a seeded random sequence of events."""
     rng = random.Random(seed)
-    driver.endpoints(1, [("127.0.0.1:1", "s-50", "ready")])
+    driver.record_endpoints(1, [("127.0.0.1:1", "s-50", "ready")])
     while not driver.restored():
         driver.step()
     yield driver.status()[1], list(driver.log())
@@ -170,15 +170,16 @@
         class_index = rng.randrange(4)
         match rng.randrange(8):
             case 0 | 1 | 2 | 3:
-                yield driver.answer(call_id, class_index)
+                yield driver.admission_result(call_id, class_index)
             case 4:
                 yield driver.retry_after(call_id, class_index, 77)
             case 5:
-                driver.load(call_id, rng.random() < 0.5)
+                driver.record_load(call_id, rng.random() < 0.5)
             case 6 if rng.random() < 0.1:
-                driver.endpoints(turn + 10, [("127.0.0.1:2", "s-2", rng.choice(["ready", "draining"]))])
+                lifecycle = rng.choice(["ready", "draining"])
+                driver.record_endpoints(turn + 10, [("127.0.0.1:2", "s-2", lifecycle)])
             case 7 if rng.random() < 0.1:
-                driver.directive(f"s-{rng.randrange(4)}", turn + 10)
+                driver.record_directive(f"s-{rng.randrange(4)}", turn + 10)
         driver.step()
         yield driver.status()
     driver.close()
--- a/tests/recovery/test_startup_stages.py
+++ b/tests/recovery/test_startup_stages.py
@@ -54,7 +54,7 @@
         pytest.param(
             StartupConditions(restored=True, endpoints_confirmed=True, directives_agree=False),
             {RecoveryStage.IDEMPOTENT: 3.0, RecoveryStage.OPEN: 7.0},
-            id="a peer holds other directives",
+            id="a peer has other directives",
         ),
         pytest.param(
             StartupConditions(restored=True),
--- a/tests/recovery_helpers.py
+++ b/tests/recovery_helpers.py
@@ -23,7 +23,7 @@
 
 
 def directive(target: str, revision: int, active: bool = True, author: str = "a") -> OperatorDirective:
-    """A directive that suspends one engine."""
+    """A directive to suspend the engine `target`, or to end its suspension if not `active`."""
     return OperatorDirective(target, revision, author, active, 1.0, 1.0)
 
 
