--- a/lilacfront/operations/admin_commands.py
+++ b/lilacfront/operations/admin_commands.py
@@ -1,4 +1,4 @@
-"""Executes the commands of the admin protocol and words their answers. No I/O."""
+"""Executes the commands of the admin protocol and formats the answers. No I/O."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from lilacfront.operations.operator_state import MAX_SUSPENDED, OperatorState
 from lilacfront.operations.state_record import PAUSE_TARGET
 
-MAX_NAMED_IDS = 8  # suspended warehouses that STATUS names
-MAX_QUOTED_CHARACTERS = 80  # of an unknown id
+MAX_LISTED_IDS = 8  # largest number of suspended warehouses in an answer to STATUS
+MAX_QUOTED_CHARACTERS = 80  # longest part of an unknown id in an answer
 
 
 class CommandContext(Protocol):
-    """What the commands ask of the process."""
+    """Interface of the commands to the process."""
 
     def stage(self) -> LifecycleStage:
-        """The stage of this process."""
+        """Return the lifecycle stage of this process."""
 
-    def status_note(self) -> str:
-        """What STATUS says beside the stage and the suspended warehouses; empty for nothing."""
+    def status_details(self) -> str:
+        """Return the text that STATUS appends to the stage and the suspended warehouses; may be empty."""
 
     def member_lines(self) -> list[str] | None:
-        """The answer to PEERS, a summary and a line for each front end; None without membership."""
+        """Return a summary line and a line for each front end, for PEERS; None without membership."""
 
     def issue_directive(self, target: str, active: bool) -> None:
-        """Issue an operator directive, apply it, and save it before the answer."""
+        """Issue an operator directive, apply it and publish it."""
 
 
 class AdminCommands:
-    """The commands of one process."""
+    """Executes admin commands for one process."""
 
     def __init__(self, state: OperatorState, context: CommandContext) -> None:
         self._state = state
         self._context = context
 
     def execute(self, request: AdminRequest) -> AdminResponse:
-        """Execute a command."""
+        """Execute a command and return its answer."""
         match request.command:
             case Command.STATUS:
                 return self._status()
@@ -57,10 +57,10 @@
         stage = self._context.stage()
         text = stage.value
         if suspended := self._state.suspended:
-            unnamed = len(suspended) - MAX_NAMED_IDS
-            more = f" and {unnamed} more" if unnamed > 0 else ""
-            text += f"; left out: {', '.join(suspended[:MAX_NAMED_IDS])}{more}"
-        text += self._context.status_note()
+            unlisted_count = len(suspended) - MAX_LISTED_IDS
+            rest = f" and {unlisted_count} more" if unlisted_count > 0 else ""
+            text += f"; left out: {', '.join(suspended[:MAX_LISTED_IDS])}{rest}"
+        text += self._context.status_details()
         return AdminResponse(stage is LifecycleStage.READY, text)
 
     def _peers(self) -> AdminResponse:
--- a/lilacfront/operations/admin_protocol.py
+++ b/lilacfront/operations/admin_protocol.py
@@ -1,6 +1,6 @@
-"""The admin protocol: one line in, one line out (PEERS: several). No I/O.
+"""The admin protocol: each request is one line, each answer one line or, for PEERS, several. No I/O.
 
-Words, answers and error texts are what operators and the platform's scripts read, so they never change.
+Operators and scripts of the platform match the commands, answers and error texts, so they must not change.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 from lilacfront.errors import LilacfrontError
 
-MAX_LINE_BYTES = 256  # ids are far shorter
-MAX_QUOTED_CHARACTERS = 40  # of an unknown command
+MAX_LINE_BYTES = 256  # far more than a command with an id needs
+MAX_QUOTED_CHARACTERS = 40  # longest part of an unknown command in an answer
 
 
 class Command(Enum):
-    """The commands, by their words on the wire."""
+    """The commands; the values are their names on the wire."""
 
     STATUS = "STATUS"
     SUSPEND = "SUSPEND"
@@ -31,12 +31,17 @@
 
 
 class AdminRequestError(LilacfrontError):
-    """A line that is not a request; the text is the answer to its sender."""
+    """The line is not a valid request; the text of the error is sent to the caller."""
 
 
 @dataclass(slots=True, frozen=True)
 class AdminRequest:
-    """A command, with the id of the warehouse for those that take one."""
+    """A parsed request.
+
+    Attributes:
+        command: The command.
+        warehouse_id: The argument of the commands in `COMMANDS_WITH_ID`; empty for the others.
+    """
 
     command: Command
     warehouse_id: str = ""
@@ -44,12 +49,13 @@
 
 @dataclass(slots=True, frozen=True)
 class AdminResponse:
-    """The answer to one line.
+    """The answer to one request.
 
     Attributes:
-        ok: Whether the answer is yes; on the wire the first word, `ok` or `fail`.
+        ok: Whether the command succeeded, and for STATUS whether the process is ready. On the wire it is the
+            first word, `ok` or `fail`.
         text: The rest of the first line.
-        extra_lines: Further lines, of commands that only people use.
+        extra_lines: Further lines, only in answers that no script parses.
     """
 
     ok: bool
@@ -57,7 +63,7 @@
     extra_lines: tuple[str, ...] = ()
 
     def encode(self) -> bytes:
-        """Encode for the wire; characters that could start another line are replaced."""
+        """Encode the answer; unprintable characters are replaced, so that no text starts another line."""
         lines = (f"{'ok' if self.ok else 'fail'} {self.text}", *self.extra_lines)
         return "".join(f"{_single_line(line)}\n" for line in lines).encode()
 
@@ -67,15 +73,15 @@
 
 
 def failure(text: str) -> AdminResponse:
-    """A negative answer."""
+    """Return a `fail` answer."""
     return AdminResponse(False, text)
 
 
 def parse_request(line: bytes) -> AdminRequest:
-    """Parse one line, given without its end.
+    """Parse one line, without its line terminator.
 
     Raises:
-        AdminRequestError: The line is not a request.
+        AdminRequestError: The line is not a valid request.
     """
     if len(line) > MAX_LINE_BYTES:
         raise AdminRequestError(f"a call is at most {MAX_LINE_BYTES} bytes long")
--- a/lilacfront/operations/admin_server.py
+++ b/lilacfront/operations/admin_server.py
@@ -1,8 +1,9 @@
-"""The admin address: a second listening socket that answers one line per connection.
+"""Server of the admin protocol: a separate listening socket that answers one line per connection.
 
-It runs on callbacks of the loop without tasks, so an answer waits for nothing but the loop's turn. Its
-connections are few and counted apart from those of clients; one that sends nothing, or half a line, is closed
-after `REQUEST_TIMEOUT_S`, and sooner when others need its place.
+It uses callbacks of the event loop instead of tasks, so that answers are delayed by nothing but the current
+turn of the loop. Admin connections have their own limit, apart from that of client connections. A connection
+that sends no complete line is closed after `REQUEST_TIMEOUT_S`, or sooner if it is the oldest one and a new
+connection exceeds the limit.
 """
 
 from __future__ import annotations
@@ -17,34 +18,34 @@
 from lilacfront.sched import Loop
 
 log = Log(__name__)
-BACKLOG = 128
-REQUEST_TIMEOUT_S = 5.0  # for a whole request
-CLOSE_TIMEOUT_S = 1.0  # for the caller to close after its answer
+LISTEN_BACKLOG = 128
+REQUEST_TIMEOUT_S = 5.0  # time from accepting a connection until its request is complete
+CLOSE_TIMEOUT_S = 1.0  # time for the caller to close the connection after the answer
 MIN_CONNECTIONS = 4
 MAX_CONNECTIONS = 32
-DESCRIPTORS_PER_CONNECTION = 16  # admin connections may use a sixteenth of the descriptors
+DESCRIPTORS_PER_CONNECTION = 16  # one admin connection is allowed per 16 descriptors of the process
 
 
 class AdminRequestHandler(Protocol):
-    """Answers the lines that an `AdminServer` receives."""
+    """Executes the requests that an `AdminServer` receives."""
 
     def handle_line(self, line: bytes) -> AdminResponse:
-        """Answer one line, given without its end."""
+        """Execute one line, without its line terminator, and return the answer."""
 
 
 class AdminServer:
-    """Listens at the admin address."""
+    """Listens at the admin address and answers requests."""
 
     def __init__(
         self, loop: Loop, address: tuple[str, int], max_descriptors: int, handler: AdminRequestHandler
     ) -> None:
-        """Start to listen.
+        """Start listening.
 
         Args:
             loop: The loop to run on.
-            address: Host and port; port 0 has the system choose one.
-            max_descriptors: Descriptors that this process may use in all.
-            handler: Answers the requests.
+            address: Host and port; with port 0 the system chooses a free port.
+            max_descriptors: Maximum number of descriptors of this process.
+            handler: Executes the requests.
 
         Raises:
             OSError: The address can't be used.
@@ -54,12 +55,12 @@
         self.max_connections = max(
             MIN_CONNECTIONS, min(MAX_CONNECTIONS, max_descriptors // DESCRIPTORS_PER_CONNECTION)
         )
-        self.connections: dict[int, _AdminConnection] = {}  # by descriptor, the oldest first
+        self.connections: dict[int, _AdminConnection] = {}  # by descriptor, oldest first
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.sock.bind(address)
-            self.sock.listen(BACKLOG)
+            self.sock.listen(LISTEN_BACKLOG)
         except OSError:
             self.sock.close()
             raise
@@ -71,7 +72,7 @@
         for _ in range(self.max_connections):
             try:
                 sock, _peer = self.sock.accept()
-            except OSError:  # none waits, or no descriptor is free: the next turn tries again
+            except OSError:  # no pending connection, or out of descriptors: retried in the next turn
                 return
             if len(self.connections) >= self.max_connections:
                 oldest = next(iter(self.connections.values()))
@@ -79,10 +80,10 @@
             _AdminConnection(self, sock)
 
     def respond(self, line: bytes) -> AdminResponse:
-        """Answer one line, even if the handler fails."""
+        """Return the answer to one line, even if the handler raises an exception."""
         try:
             return self._handler.handle_line(line)
-        except Exception:  # a fault in the handler still owes its caller an answer
+        except Exception:  # the caller must get an answer even if the handler has a defect
             log.exception("admin request failed")
             return failure("this program could not do it; its log says why")
 
@@ -95,7 +96,7 @@
 
 
 class _AdminConnection:
-    """One caller: reads a line, writes the answer, and waits a little for the caller to close."""
+    """One connection: reads a line, writes the answer, and waits up to `CLOSE_TIMEOUT_S` for the close."""
 
     def __init__(self, server: AdminServer, sock: socket.socket) -> None:
         self._server = server
@@ -109,7 +110,7 @@
         server.connections[sock.fileno()] = self
         self._watch(select.POLLIN)
         self._loop.at(self._loop.now + REQUEST_TIMEOUT_S, self.close)
-        self._read()  # the line has usually come already
+        self._read()  # the request has usually arrived already
 
     def _watch(self, events: int) -> None:
         self._loop.watch(self._sock.fileno(), events, self._on_ready)
@@ -130,7 +131,7 @@
             return
         if not self._answered:
             self._receive(data)
-        elif not data:  # whatever follows the one line is dropped
+        elif not data:  # data after the first line is discarded
             self.close()
 
     def _receive(self, data: bytes) -> None:
@@ -139,7 +140,7 @@
         if newline or len(line) > MAX_LINE_BYTES + 1:
             self._respond(self._server.respond(line.removesuffix(b"\r")))
         elif not data:
-            # A truncated line may name another warehouse than was meant, so it is not executed.
+            # A truncated line is not executed, because it may contain the id of another warehouse.
             self._respond(failure("the call has no end of line"))
 
     def _respond(self, response: AdminResponse) -> None:
@@ -157,7 +158,7 @@
             self.close()
             return
         self._unsent = self._unsent[sent:]
-        if self._unsent:  # a long answer to a slow reader
+        if self._unsent:  # the send buffer is full
             self._watch(select.POLLIN | select.POLLOUT)
             return
         with contextlib.suppress(OSError):
@@ -165,7 +166,7 @@
         self._watch(select.POLLIN)
 
     def close(self) -> None:
-        """Close, once; the timers call this as well."""
+        """Close the connection. Idempotent, since timers call it as well."""
         if self._closed:
             return
         self._closed = True
--- a/lilacfront/operations/cli.py
+++ b/lilacfront/operations/cli.py
@@ -1,6 +1,6 @@
-"""`lilacfront ops`: the admin commands from a shell.
+"""`lilacfront ops`: sends admin commands to a running front end.
 
-Exit codes: 0 the answer is ok; 1 it is fail; 2 the command line is wrong; 3 no answer came.
+Exit codes: 0: the answer is `ok`; 1: the answer is `fail`; 2: invalid command line; 3: no answer.
 The docstrings of the commands are their help texts.
 """
 
@@ -21,14 +21,14 @@
 EXIT_NO_ANSWER = 3
 MAX_ANSWER_BYTES = 1 << 20
 READ_BYTES = 65536
-MIN_TIMEOUT_S = 0.001  # a socket with none at all does not wait for what has come
+MIN_TIMEOUT_S = 0.001  # a timeout of 0 would make the socket non-blocking
 
 
 def request_lines(address: tuple[str, int], line: str, timeout_s: float) -> list[str]:
     """Send one line of the admin protocol; returns the lines of the answer.
 
     Raises:
-        OSError: No whole answer came within `timeout_s`.
+        OSError: The connection failed, or no complete answer was received within `timeout_s`.
     """
     deadline = time.monotonic() + timeout_s
     received = b""
@@ -41,7 +41,7 @@
                 break
             received += data
     if not received.endswith(b"\n"):
-        raise OSError("the connection ended before a whole answer had come")
+        raise OSError("the connection was closed before the answer was complete")
     return received.decode(errors="replace").splitlines()
 
 
@@ -55,23 +55,30 @@
     "--admin",
     metavar="HOST:PORT",
     default=lambda: os.environ.get("PROXY_ADMIN", ""),
-    help="The operators' address of the front end; by default what PROXY_ADMIN names.",
+    help="Admin address of the front end. Default: the environment variable PROXY_ADMIN.",
+)
+@click.option(
+    "--within",
+    "timeout_s",
+    type=click.FloatRange(0.1, 60),
+    default=2.0,
+    show_default=True,
+    help="Timeout for the answer, in seconds.",
 )
-@click.option("--within", type=click.FloatRange(0.1, 60), default=2.0, show_default=True, help="Seconds.")
 @click.pass_context
-def group(ctx: click.Context, admin: str, within: float) -> None:
-    """Calls to a running front end."""
+def group(ctx: click.Context, admin: str, timeout_s: float) -> None:
+    """Send admin commands to a running front end."""
     try:
-        ctx.obj = (parse_address(admin), within)
+        ctx.obj = (parse_address(admin), timeout_s)
     except EndpointListError as error:
         raise click.UsageError(f"--admin: {error}") from error
 
 
 def _send(ctx: click.Context, line: str) -> None:
-    """Send a command, print its answer, and exit."""
+    """Send a command, print the answer, and exit with the code for it."""
     address, timeout_s = ctx.obj
     if len(line.encode()) > MAX_LINE_BYTES or "\n" in line:
-        raise click.UsageError(f"a call is one line of at most {MAX_LINE_BYTES} bytes")
+        raise click.UsageError(f"a command must be a single line of at most {MAX_LINE_BYTES} bytes")
     try:
         answer = request_line(address, line, timeout_s)
     except OSError as error:
@@ -84,7 +91,7 @@
 @group.command()
 @click.pass_context
 def status(ctx: click.Context) -> None:
-    """Is this process ready to serve?"""
+    """Show whether the process is ready to serve requests."""
     _send(ctx, "STATUS")
 
 
@@ -92,7 +99,7 @@
 @click.argument("warehouse")
 @click.pass_context
 def suspend(ctx: click.Context, warehouse: str) -> None:
-    """Leave a warehouse out."""
+    """Suspend a warehouse: send it no further requests."""
     _send(ctx, f"SUSPEND {warehouse}")
 
 
@@ -100,19 +107,19 @@
 @click.argument("warehouse")
 @click.pass_context
 def restore(ctx: click.Context, warehouse: str) -> None:
-    """Use a warehouse again."""
+    """Restore a suspended warehouse."""
     _send(ctx, f"RESTORE {warehouse}")
 
 
 @group.command()
 @click.pass_context
 def pause(ctx: click.Context) -> None:
-    """Send the clients away; the process keeps running."""
+    """Fail the health check and drain all client connections; the process keeps running."""
     _send(ctx, "PAUSE")
 
 
 @group.command()
 @click.pass_context
 def resume(ctx: click.Context) -> None:
-    """Take clients again."""
+    """End a pause: pass the health check and stop draining client connections."""
     _send(ctx, "RESUME")
--- a/lilacfront/operations/connection_transfer.py
+++ b/lilacfront/operations/connection_transfer.py
@@ -1,9 +1,10 @@
 """Transfers client connections from a process that shuts down to its successor.
 
-The processes of one front end, all of one user, talk over Unix sockets in the state directory. A connection's
-descriptor travels with the received part of its next message and with the numbers of the requests in flight.
-From then on the successor alone reads and writes it. Answers to those requests come over the same channel,
-and cancellations by the client go back over it.
+The processes of one front end run as the same user and communicate over Unix sockets in the state directory.
+The old process sends the descriptor of a connection as SCM_RIGHTS ancillary data, together with the received
+part of the next message and the ids of the requests in flight. From then on only the successor reads from and
+writes to the connection. The old process sends the answers to these requests over the same channel, and the
+successor sends cancellations back.
 """
 
 from __future__ import annotations
@@ -35,25 +36,25 @@
 
 log = Log(__name__)
 MAX_MESSAGES_PER_TURN = 64
-MAX_QUEUED_MESSAGES = 4096  # that the other process has not read
-MAX_DESCRIPTORS_PER_MESSAGE = 4  # room for them; more than one is an error
-RETRY_S = 0.01  # until descriptors are sent again, when the system has too many in flight
-BACKLOG = 8
-CREDENTIALS = struct.Struct("3i")  # pid, uid, gid
+MAX_QUEUED_MESSAGES = 4096  # a channel with more unsent messages is closed
+MAX_RECEIVED_DESCRIPTORS = 4  # size of the ancillary buffer; a message with more than one is malformed
+RETRY_DELAY_S = 0.01  # delay before sending again after ETOOMANYREFS
+LISTEN_BACKLOG = 8
+CREDENTIALS = struct.Struct("3i")  # struct ucred: pid, uid, gid
 
 
 class ChannelObserver(Protocol):
-    """Receives what happens on channels."""
+    """Receives the messages and the closing of channels."""
 
     def on_message(self, channel: TransferChannel, message: Message, descriptor: int | None) -> None:
-        """A message came; its descriptor, if any, belongs to the observer from now on."""
+        """Handle a message; takes ownership of its descriptor, if there is one."""
 
     def on_channel_closed(self, channel: TransferChannel) -> None:
-        """A channel has closed; called once, however it ended."""
+        """Handle the closing of a channel; called exactly once for each channel."""
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Whether the process at the other end of a Unix socket runs as this process's user."""
+    """Return whether the peer process of a Unix socket runs as the same user as this process."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
     _pid, uid, _gid = CREDENTIALS.unpack(credentials)
     return bool(uid == os.geteuid())
@@ -61,7 +62,13 @@
 
 @dataclass(slots=True, frozen=True)
 class _Datagram:
-    """What one read of the socket gave; an empty one means the end of the connection."""
+    """A datagram received from the socket.
+
+    Attributes:
+        data: The payload; empty at the end of the connection.
+        descriptors: The descriptors received with it.
+        truncated: Whether the payload was longer than the buffer.
+    """
 
     data: bytes
     descriptors: tuple[int, ...]
@@ -72,7 +79,7 @@
             os.close(descriptor)
 
     def message(self) -> Message | None:
-        """The message, or None if it is malformed or comes with more descriptors than it may have."""
+        """Decode the message; returns None if it is malformed or has too many descriptors."""
         if self.truncated:
             return None
         try:
@@ -84,12 +91,12 @@
 
 
 def _descriptors(ancillary: Iterable[tuple[int, int, bytes]]) -> tuple[int, ...]:
-    """Descriptors that came as ancillary data; an incomplete last one is dropped."""
-    found = array.array("i")
+    """Return the descriptors in ancillary data, without an incomplete last one."""
+    descriptors = array.array("i")
     for level, kind, raw in ancillary:
         if level == socket.SOL_SOCKET and kind == socket.SCM_RIGHTS:
-            found.frombytes(raw[: len(raw) - len(raw) % found.itemsize])
-    return tuple(found)
+            descriptors.frombytes(raw[: len(raw) - len(raw) % descriptors.itemsize])
+    return tuple(descriptors)
 
 
 class TransferChannel:
@@ -106,7 +113,7 @@
 
     @property
     def queued_messages(self) -> int:
-        """Messages that the other process has not read."""
+        """Number of messages that have not been sent yet."""
         return len(self._unsent)
 
     def _watch(self) -> None:
@@ -117,9 +124,10 @@
 
     # ---- sending ------------------------------------------------------------------------------------
     def send(self, message: Message, descriptor: int | None = None) -> None:
-        """Queue a message. The descriptor belongs to the channel from now on, also if that is closed.
+        """Queue a message, and send it as soon as possible.
 
-        The channel closes if the other process reads too slowly.
+        The channel takes ownership of the descriptor, even if it is closed. It closes itself when more than
+        `MAX_QUEUED_MESSAGES` messages are unsent, because the other process reads too slowly.
         """
         if self.closed:
             if descriptor is not None:
@@ -140,8 +148,9 @@
                 break
             except OSError as error:
                 if error.errno == errno.ETOOMANYREFS:
-                    # The system limits descriptors in flight; those sent before have to be read first.
-                    self._loop.at(self._loop.now + RETRY_S, self._flush)
+                    # The kernel limits the number of descriptors in flight. Retry once the other process
+                    # has received some of them.
+                    self._loop.at(self._loop.now + RETRY_DELAY_S, self._flush)
                     return
                 log.warning("transfer channel broken", error=error)
                 self.close()
@@ -180,8 +189,8 @@
             self._handle(datagram)
 
     def _receive_datagram(self) -> _Datagram:
-        room = socket.CMSG_SPACE(MAX_DESCRIPTORS_PER_MESSAGE * array.array("i").itemsize)
-        data, ancillary, flags, _address = self._sock.recvmsg(MAX_MESSAGE_BYTES, room)
+        ancillary_bytes = socket.CMSG_SPACE(MAX_RECEIVED_DESCRIPTORS * array.array("i").itemsize)
+        data, ancillary, flags, _address = self._sock.recvmsg(MAX_MESSAGE_BYTES, ancillary_bytes)
         return _Datagram(data, _descriptors(ancillary), bool(flags & socket.MSG_TRUNC))
 
     def _handle(self, datagram: _Datagram) -> None:
@@ -192,7 +201,8 @@
             self.close()
             return
         if isinstance(message, ConnectionPassed) and not datagram.descriptors:
-            # No descriptor was free here: this connection is lost, the others are not.
+            # This process is out of descriptors, so the kernel dropped the one of this connection. Only this
+            # connection is lost.
             log.warning("connection transfer failed: out of descriptors")
             self.send(RequestCancelled(message.connection_id))
             return
@@ -200,7 +210,7 @@
         self._observer.on_message(self, message, descriptor)
 
     def close(self) -> None:
-        """Close the channel and all descriptors that have not been sent; calls after the first do nothing."""
+        """Close the channel and all unsent descriptors. Idempotent."""
         if self.closed:
             return
         self.closed = True
@@ -214,25 +224,26 @@
 
 
 class TransferSocket:
-    """The socket of one process, at which the others reach it, and the channels to them."""
+    """The listening socket of one process, and its channels to the other processes."""
 
     def __init__(self, loop: Loop, directory: str, token: str, observer: ChannelObserver) -> None:
-        """Start to listen.
+        """Start listening.
 
         Raises:
-            OSError: There can be no such socket in the directory.
+            OSError: The directory can't be opened, or the socket can't be created in it.
         """
         self._loop = loop
         self._token = token
         self._observer = observer
         self.channels: set[TransferChannel] = set()
         self._closed = False
-        # The name of a Unix socket has 107 bytes at most; that of the directory may be longer.
+        # The path of a Unix socket is limited to 107 bytes, and that of the directory may be longer. Sockets
+        # are therefore addressed through a descriptor of the directory.
         self._directory = os.open(directory, os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             self._sock.bind(self._address(token))
-            self._sock.listen(BACKLOG)
+            self._sock.listen(LISTEN_BACKLOG)
         except OSError:
             self._sock.close()
             os.close(self._directory)
@@ -249,7 +260,7 @@
             self.open_channel(sock)
 
     def open_channel(self, sock: socket.socket) -> TransferChannel | None:
-        """Open a channel over a connected socket; None if the other process is of another user."""
+        """Open a channel over a connected socket; returns None if its peer runs as another user."""
         if not is_same_user(sock):
             log.warning("transfer channel of another user rejected")
             sock.close()
@@ -259,7 +270,7 @@
         return channel
 
     def connect(self, token: str) -> TransferChannel | None:
-        """Open a channel to the process with this token; None if it can't be reached."""
+        """Open a channel to the process with this token; returns None if the connection fails."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         sock.setblocking(False)
         try:
@@ -271,16 +282,16 @@
         return self.open_channel(sock)
 
     def on_message(self, channel: TransferChannel, message: Message, descriptor: int | None) -> None:
-        """Hand a channel's message on."""
+        """Pass a message of a channel to the observer."""
         self._observer.on_message(channel, message, descriptor)
 
     def on_channel_closed(self, channel: TransferChannel) -> None:
-        """Drop a channel that has closed."""
+        """Remove a closed channel, and notify the observer."""
         self.channels.discard(channel)
         self._observer.on_channel_closed(channel)
 
     def close(self) -> None:
-        """Close all channels and remove the socket; calls after the first do nothing."""
+        """Close all channels and remove the socket. Idempotent."""
         if self._closed:
             return
         self._closed = True
--- a/lilacfront/operations/directives.py
+++ b/lilacfront/operations/directives.py
@@ -1,4 +1,4 @@
-"""Puts operator directives into force: a suspension at the decisions, a pause as a drain."""
+"""Applies operator directives: suspensions change the endpoint list, a pause starts a drain."""
 
 from __future__ import annotations
 
@@ -12,12 +12,15 @@
 from lilacfront.operations.operator_state import OperatorState
 from lilacfront.operations.state_record import PAUSE_TARGET, OperatorDirective
 
-RESTORATION_MEMORY_S = 120.0  # restored warehouses have long warmed up by then
+RESTORATION_TTL_S = 120.0  # restored warehouses have warmed up long before
 US_PER_S = 1e6
 
 
 class DirectiveController:
-    """The directives of one process and their effects. Methods tell whether any is newly in force."""
+    """Issues and merges directives and applies their effects.
+
+    The methods that do so return whether any directive is newly in force.
+    """
 
     def __init__(self, state: OperatorState, host: OperationsHost, drains: DrainController) -> None:
         self._state = state
@@ -26,15 +29,15 @@
         self._maintenance = Maintenance()
 
     def issue(self, target: str, active: bool) -> bool:
-        """Issue a directive of this process, unless it says what is in force."""
+        """Issue a directive in the name of this process, unless it would change nothing."""
         return self._apply_all(self._state.set_active(target, active))
 
     def adopt(self, directives: Iterable[OperatorDirective]) -> bool:
-        """Adopt directives from before a power loss; see `OperatorState.adopt`."""
+        """Restore directives from before a power loss; see `OperatorState.adopt`."""
         return self._apply_all(self._state.adopt(directives))
 
     def merge(self, directives: Iterable[OperatorDirective]) -> bool:
-        """Merge directives that another process has received."""
+        """Merge the directives of another process."""
         return self._apply_all(self._state.merge(directives))
 
     def _apply_all(self, directives: list[OperatorDirective]) -> bool:
@@ -64,11 +67,11 @@
             self._host.update_endpoints(update)
 
     def apply_maintenance(self, update: EndpointList, warehouse_ids: Iterable[str]) -> EndpointList:
-        """The update of the endpoint list as the decisions are to see it; see `Operations`."""
+        """Apply suspensions and restorations; see `Operations.apply_maintenance`."""
         self._state.record_listed(warehouse_ids)
         return self._maintenance.apply(update)
 
-    def forget_restorations(self, alone: bool) -> None:
+    def forget_restorations(self, is_only_copy: bool) -> None:
         """Forget old restorations; see `OperatorState.forget_expired`."""
-        for target in self._state.forget_expired(alone, RESTORATION_MEMORY_S):
+        for target in self._state.forget_expired(is_only_copy, RESTORATION_TTL_S):
             self._maintenance.forget(engine_number(target))
--- a/lilacfront/operations/drain.py
+++ b/lilacfront/operations/drain.py
@@ -1,10 +1,12 @@
-"""Graceful shutdown of client connections: which connection ends when. Decisions without I/O.
+"""Graceful draining of client connections: decides when each connection is closed. No I/O.
 
-A pause, a shutdown and a hand-over to a new process differ in their deadlines alone. New connections and
-requests are served as they come, since the platform may still route them here. A connection is closed as soon
-as no request is in flight on it, so that its client reconnects elsewhere. Connections that never fall idle
-have their new requests rejected late in the drain, and shortly before its end the requests that are too
-recent are failed. Requests that have run for long may finish.
+A pause, a shutdown and a hand-over to a new process differ only in their deadlines. The steps of a drain:
+
+1. New connections and requests are still served, since the platform may still route them here.
+2. From `idle_s` on, a connection is closed once no request is in flight on it. Its client then reconnects to
+   another process or front end.
+3. From `reject_s` on, new requests are rejected. Connections that are never idle end this way.
+4. From `abort_s` on, recent requests are failed. Older requests may finish.
 """
 
 from __future__ import annotations
@@ -15,23 +17,24 @@
 
 
 class DrainAction(Enum):
-    """What is to be done with a connection now."""
+    """Action to take on a connection."""
 
     KEEP = "keep"
     CLOSE = "close"
-    FAIL_PENDING = "fail pending"  # requests in flight are answered as failed, then the connection ends
+    FAIL_PENDING = "fail pending"  # answer requests in flight with an error, then close the connection
 
 
 @dataclass(slots=True, frozen=True)
 class DrainDeadlines:
-    """Seconds since the start of a drain.
+    """Deadlines of a drain, in seconds.
 
     Attributes:
-        idle_s: Idle connections are closed from here on.
-        first_request_s: How long a new connection may take to send its first request.
-        reject_s: New requests are rejected from here on.
-        abort_s: Idle connections are closed and recent requests failed from here on, without exception.
-        recent_request_s: Age below which a request counts as recent.
+        idle_s: Time from the start of the drain after which idle connections are closed.
+        first_request_s: Time from accepting a connection within which its first request is awaited.
+        reject_s: Time from the start of the drain after which new requests are rejected.
+        abort_s: Time from the start of the drain after which all idle connections are closed, even those
+            with a partial message, and recent requests are failed.
+        recent_request_s: Age below which a request is recent.
     """
 
     idle_s: float
@@ -41,25 +44,27 @@
     recent_request_s: float
 
 
-# The platform polls every 0.1 s and routes for 0.2 s more: closed sooner, clients would reconnect here. By
-# 4 s no connection may be idle or carry a request younger than 2 s; 0.3 s of it are for a busy machine.
+# The platform polls every 0.1 s and keeps routing here for another 0.2 s. A client whose connection is closed
+# sooner would reconnect here. After 4 s no connection may be idle or have a request younger than 2 s; the
+# deadlines leave a margin of 0.3 s for a busy machine.
 PAUSE_DEADLINES = DrainDeadlines(
     idle_s=0.4, first_request_s=1.0, reject_s=3.0, abort_s=3.7, recent_request_s=2.3
 )
-TRANSFER_TIMEOUT_S = 1.0  # a connection that can't be transferred within this closes when idle
-NEW_CONNECTION_S = 2.0  # for the first request on a connection accepted just before a hand-over
-REJECT_MARGIN_S = 0.9  # before SIGKILL
-ABORT_MARGIN_S = 0.3  # before SIGKILL
+TRANSFER_TIMEOUT_S = 1.0  # an idle connection is closed if it could not be transferred within this time
+FIRST_REQUEST_TIMEOUT_S = 2.0  # time for the first request on a connection accepted before a hand-over
+REJECT_MARGIN_S = 0.9  # new requests are rejected this many seconds before SIGKILL
+ABORT_MARGIN_S = 0.3  # requests in flight are failed this many seconds before SIGKILL
 
 
 def shutdown_deadlines(grace_s: float, max_request_s: float) -> DrainDeadlines:
-    """Deadlines after SIGTERM without a successor.
+    """Return the deadlines of a shutdown without a successor.
 
-    Clients that never fall idle are rejected at the end, so that none of their requests is left unanswered.
+    New requests on connections that are never idle are rejected at the end, so that every request gets an
+    answer.
 
     Args:
-        grace_s: How long new connections and requests still come.
-        max_request_s: By when the requests have to be answered.
+        grace_s: Seconds from SIGTERM during which new connections and requests may still arrive.
+        max_request_s: Seconds from SIGTERM within which all requests have to be answered.
     """
     return DrainDeadlines(
         idle_s=grace_s,
@@ -71,15 +76,15 @@
 
 
 def handover_deadlines(kill_after_s: float, transferred: bool) -> DrainDeadlines:
-    """Deadlines after SIGTERM with a successor, which accepts all new connections.
+    """Return the deadlines of a shutdown with a successor, which accepts all new connections.
 
     Args:
         kill_after_s: Seconds from SIGTERM to SIGKILL.
-        transferred: Whether the connections are transferred to the successor.
+        transferred: Whether the client connections are transferred to the successor.
     """
     return DrainDeadlines(
         idle_s=TRANSFER_TIMEOUT_S if transferred else 0.0,
-        first_request_s=NEW_CONNECTION_S,
+        first_request_s=FIRST_REQUEST_TIMEOUT_S,
         reject_s=kill_after_s - REJECT_MARGIN_S,
         abort_s=kill_after_s - ABORT_MARGIN_S,
         recent_request_s=math.inf,
@@ -88,13 +93,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionStatus:
-    """A client connection as a drain sees it; times in seconds on the loop's clock.
+    """State of a client connection that a drain depends on; times are seconds on the loop's clock.
 
     Attributes:
-        connected_at: When it was accepted.
-        last_request_at: When its last whole request came; negative without one.
-        busy: Whether a request is in flight on it.
-        partial_message: Whether a part of a message has come.
+        connected_at: Time at which the connection was accepted.
+        last_request_at: Time at which the last complete request arrived; negative if there was none.
+        busy: Whether a request is in flight on the connection.
+        partial_message: Whether only a part of the next message has arrived.
     """
 
     connected_at: float
@@ -105,13 +110,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """One drain, begun at `started_at` on the loop's clock."""
+    """One drain.
+
+    Attributes:
+        started_at: Start of the drain, in seconds on the loop's clock.
+        deadlines: Deadlines relative to the start.
+    """
 
     started_at: float
     deadlines: DrainDeadlines
 
     def decide(self, now: float, connection: ConnectionStatus) -> DrainAction:
-        """Decide what to do with a connection."""
+        """Return the action to take on a connection."""
         elapsed = now - self.started_at
         if connection.busy:
             recent = now - connection.last_request_at < self.deadlines.recent_request_s
@@ -124,20 +134,22 @@
         return DrainAction.CLOSE
 
     def _expects_request(self, now: float, connection: ConnectionStatus) -> bool:
-        """Tell whether a request on an idle connection is likely on its way."""
-        silent_since_connect = connection.last_request_at < 0
-        new = silent_since_connect and now - connection.connected_at < self.deadlines.first_request_s
-        return new or connection.partial_message
+        """Return whether a request is likely to arrive soon on an idle connection."""
+        had_no_request = connection.last_request_at < 0
+        awaits_first = had_no_request and now - connection.connected_at < self.deadlines.first_request_s
+        return awaits_first or connection.partial_message
 
     def retry_after_s(self, now: float, connected_at: float) -> float | None:
-        """Seconds after which the client of a rejected request finds its connection closed.
+        """Return the Retry-After delay for a request that arrives now.
+
+        The delay ends when the connection is closed, so that the client retries on a new one.
 
         Returns:
-            None if the request is to be served. That holds for all requests on connections made since the
-            end of the drain, which the platform still routes here.
+            Delay in seconds; None if the request is to be served. Requests are always served on connections
+            accepted after the end of the drain, which the platform still routes here.
         """
-        end = self.started_at + self.deadlines.abort_s
+        ends_at = self.started_at + self.deadlines.abort_s
         elapsed = now - self.started_at
-        if elapsed < self.deadlines.reject_s or connected_at >= end:
+        if elapsed < self.deadlines.reject_s or connected_at >= ends_at:
             return None
-        return max(0.0, end - now)
+        return max(0.0, ends_at - now)
--- a/lilacfront/operations/draining.py
+++ b/lilacfront/operations/draining.py
@@ -1,4 +1,4 @@
-"""Starts and ends the drain of a process, and opens and closes its client listeners."""
+"""Starts and ends drains of this process, and opens and closes its client listeners."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class DrainTarget(Protocol):
-    """The side of the process that has the client connections."""
+    """Interface to the part of the process that owns the client connections."""
 
     def set_drain(self, drain: Drain | None) -> None:
-        """End the client connections by the rules of a drain; None: keep them."""
+        """Close the client connections as the drain decides; None ends the drain."""
 
     def set_accepting(self, accepting: bool) -> None:
-        """Accept new client connections, or leave them to another process."""
+        """Open the client listeners, or close them so that another process accepts the connections."""
 
     def transfer_connections(self, successor: TransferChannel) -> None:
-        """Transfer each client connection to another process as soon as possible."""
+        """Transfer each client connection to the successor as soon as possible."""
 
 
 class DrainController:
-    """The current drain of this process, if any."""
+    """Controls the current drain of this process."""
 
     def __init__(self, loop: Loop, target: DrainTarget) -> None:
         self._loop = loop
@@ -39,28 +39,37 @@
             self._target.set_accepting(accepting)
 
     def pause(self, started_at: float) -> None:
-        """Begin the drain of a pause; a shutdown that has begun goes on by its own deadlines."""
+        """Start the drain of a pause; ignored during a shutdown, which keeps its own deadlines."""
         if not self._shutting_down:
             self._set(Drain(started_at, PAUSE_DEADLINES))
 
     def resume(self) -> None:
-        """End the drain of a pause: connections stay."""
+        """End the drain of a pause and keep the remaining connections; ignored during a shutdown."""
         if not self._shutting_down:
             self._set(None)
 
     def begin_shutdown(self) -> None:
-        """From now on a pause changes nothing here."""
+        """Ignore later calls of `pause` and `resume`."""
         self._shutting_down = True
 
     def hand_over(self, successor: TransferChannel | None, kill_after_s: float) -> None:
-        """Leave new connections to another process, and transfer those held here if there is a channel."""
+        """Close the listeners, and drain while the connections are transferred.
+
+        Args:
+            successor: Channel to the process that takes over; None if there is no channel. The connections
+                are then only drained.
+            kill_after_s: Seconds from now until SIGKILL.
+        """
         self.set_accepting(False)
         if successor is not None:
             self._target.transfer_connections(successor)
         self._set(Drain(self._loop.now, handover_deadlines(kill_after_s, successor is not None)))
 
     def shut_down(self, deadlines: DrainDeadlines) -> None:
-        """Drain without a successor; a pause that is in force ends the connections sooner and stays."""
+        """Start the drain of a shutdown without a successor.
+
+        The drain of a pause is kept, since it closes the connections sooner.
+        """
         if self._drain is None:
             self._set(Drain(self._loop.now, deadlines))
 
@@ -69,7 +78,7 @@
         self._target.set_drain(drain)
 
     def retry_after_s(self, connected_at: float) -> float | None:
-        """Seconds until the client of a request may retry elsewhere; None: the request is served."""
+        """Return the Retry-After delay in seconds for a new request; None if the request is to be served."""
         if self._drain is None:
             return None
         return self._drain.retry_after_s(self._loop.now, connected_at)
--- a/lilacfront/operations/host.py
+++ b/lilacfront/operations/host.py
@@ -1,4 +1,4 @@
-"""What operations ask of the rest of the process."""
+"""Interface of the operations to the rest of the process."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 
 
 class OperationsHost(DrainTarget, ReadinessSource, ChannelObserver, Protocol):
-    """The process around `Operations`: decisions, client listeners, endpoint list, recovery, membership."""
+    """Gives `Operations` access to the router, listeners, endpoint list, recovery and membership."""
 
     def update_endpoints(self, update: EndpointList) -> None:
-        """Pass an update of the endpoint list to the decisions."""
+        """Pass an update of the endpoint list to the request router."""
 
     def set_process_count(self, processes: int) -> None:
-        """Divide the limits of the front end by the number of its running processes."""
+        """Divide the limits of the front end by the number of its running processes, at least 1."""
 
     def on_directive(self, directive: OperatorDirective) -> None:
-        """A directive is newly in force, received here or by another process."""
+        """Handle a directive that is newly in force, received by this or another process."""
 
-    def status_note(self) -> str:
-        """What STATUS says beside the stage; empty for nothing."""
+    def status_details(self) -> str:
+        """Return the text that STATUS appends to the stage and the suspended warehouses; may be empty."""
 
     def member_lines(self) -> list[str] | None:
-        """The answer to PEERS; None without membership."""
+        """Return the lines of the answer to PEERS; None without membership."""
 
     def export_learned_state(self) -> LearnedState:
-        """The measurements of the decisions."""
+        """Return the measurements of the request router."""
 
     def import_learned_state(self, learned: LearnedState, age_s: float) -> None:
-        """Start the decisions from another process's measurements, `age_s` old."""
+        """Import measurements of another process, `age_s` seconds old, into the request router."""
--- a/lilacfront/operations/learned_state.py
+++ b/lilacfront/operations/learned_state.py
@@ -1,8 +1,8 @@
-"""Measurements that a process passes on to its successor. No I/O, and nothing is decided here.
+"""Exports the measurements of a request router, and imports them into the router of another process. No I/O.
 
-They are a hint: used by a process that has measured nothing of its own yet, and only while they are fresh.
-Those of an engine hold only for the same incarnation of it. Requests in flight, queues, retry budgets and
-quotas are never passed on, since they belong to one process's requests.
+Measurements are imported only while they are recent, and only where the process has none of its own. Those of
+an engine are valid only for the same incarnation of it. Requests in flight, queues, retry budgets and quotas
+are never shared, since they belong to the requests of one process.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def export_learned_state(router: RequestRouter) -> LearnedState:
-    """Collect the measurements of this process."""
+    """Return the measurements of a router."""
     classes = tuple(
         LearnedClass(
             estimate.sample_count, estimate.run_time_us, estimate.work_us, estimate.uncrowded_run_time_us
@@ -36,7 +36,7 @@
 
 
 def import_learned_state(router: RequestRouter, learned: LearnedState, age_s: float) -> None:
-    """Start from another process's measurements, `age_s` old, where this one has none."""
+    """Import measurements that are `age_s` seconds old where the router has none of its own."""
     same_classes = len(learned.classes) == len(router.state.class_estimates)
     if 0 <= age_s <= MAX_CLASS_AGE_S and same_classes:
         _import_classes(router, learned)
@@ -45,21 +45,21 @@
 
 
 def _import_classes(router: RequestRouter, learned: LearnedState) -> None:
-    for estimate, found in zip(router.state.class_estimates, learned.classes, strict=True):
-        plausible = min(found.latency_us, found.work_us) > 0 and found.uncontended_us >= 0
-        if estimate.sample_count < found.samples and plausible:
-            estimate.sample_count = found.samples
-            estimate.run_time_us = found.latency_us
-            estimate.work_us = found.work_us
-            estimate.uncrowded_run_time_us = found.uncontended_us
+    for estimate, imported in zip(router.state.class_estimates, learned.classes, strict=True):
+        plausible = min(imported.latency_us, imported.work_us) > 0 and imported.uncontended_us >= 0
+        if estimate.sample_count < imported.samples and plausible:
+            estimate.sample_count = imported.samples
+            estimate.run_time_us = imported.latency_us
+            estimate.work_us = imported.work_us
+            estimate.uncrowded_run_time_us = imported.uncontended_us
 
 
 def _import_engines(router: RequestRouter, learned: LearnedState) -> None:
-    for found in learned.engines:
-        engine = router.state.engines.get(found.engine)
+    for imported in learned.engines:
+        engine = router.state.engines.get(imported.engine)
         if engine is None or engine.concurrency.has_ratio or engine.attempts:
             continue
-        is_same_incarnation = engine.endpoint.started_us == found.started_us
-        if is_same_incarnation and found.thread_limit >= router.state.max_class_threads:
-            engine.concurrency.limit = found.thread_limit
-            engine.concurrency.latency_ratio = found.load_ratio
+        is_same_incarnation = engine.endpoint.started_us == imported.started_us
+        if is_same_incarnation and imported.thread_limit >= router.state.max_class_threads:
+            engine.concurrency.limit = imported.thread_limit
+            engine.concurrency.latency_ratio = imported.load_ratio
--- a/lilacfront/operations/maintenance.py
+++ b/lilacfront/operations/maintenance.py
@@ -1,9 +1,10 @@
-"""Warehouses that operators have suspended: an overlay on the endpoint list. No I/O.
+"""Overlays suspensions by operators on the endpoint list. No I/O.
 
-The decisions see a suspended warehouse as draining: it gets nothing new, what runs there finishes, and it is
-not taken for faulty. Whatever the endpoint list says meanwhile, it stays so until it is restored. It then
-counts as started at that moment, unless the list reports a later start: operators restart warehouses during
-maintenance, and one that is not warmed up would be overloaded.
+A suspended warehouse is passed to the request router as draining: it gets no new requests, running requests
+finish, and it is not treated as faulty. It stays draining until it is restored, even if the endpoint list
+reports it as ready. A restored warehouse is passed on with the time of the restoration as its start time,
+unless the list reports a start after the suspension. Operators restart warehouses during maintenance, and a
+warehouse that is not warmed up would be overloaded.
 """
 
 from __future__ import annotations
@@ -15,27 +16,27 @@
 
 @dataclass(slots=True, frozen=True)
 class _Restoration:
-    """A suspension that has ended; Unix times in microseconds."""
+    """Start and end of a suspension that has ended, as Unix times in microseconds."""
 
     suspended_at_us: int
     restored_at_us: int
 
 
 class Maintenance:
-    """The suspended warehouses, by engine number; times are Unix times in microseconds."""
+    """The suspended and restored engines, by number. Times are Unix times in microseconds."""
 
     def __init__(self) -> None:
-        self._listed: dict[int, Endpoint] = {}  # as the endpoint list has them, without those removed
+        self._listed: dict[int, Endpoint] = {}  # as received, before the overlay is applied
         self._suspended_at_us: dict[int, int] = {}
         self._restored: dict[int, _Restoration] = {}
 
     @property
     def suspended(self) -> frozenset[int]:
-        """Numbers of the suspended engines."""
+        """The numbers of the suspended engines."""
         return frozenset(self._suspended_at_us)
 
     def apply(self, update: EndpointList) -> EndpointList:
-        """Record an update of the endpoint list; returns it as the decisions are to see it."""
+        """Record an update of the endpoint list; returns it with suspensions and restorations applied."""
         if update.scope is not ListScope.DELTA:
             self._listed = {}
         for endpoint in update.endpoints:
@@ -48,23 +49,23 @@
         return replace(update, endpoints=tuple(self._overlay(endpoint) for endpoint in update.endpoints))
 
     def suspend(self, engine: int, at_us: int) -> EndpointList | None:
-        """Suspend an engine; returns the update for the decisions, None if nothing changes for them."""
+        """Suspend an engine; returns an update of its endpoint, or None if nothing changes."""
         self._restored.pop(engine, None)
         if self._suspended_at_us.setdefault(engine, at_us) != at_us:
             return None
-        return self._update_of(engine)
+        return self._endpoint_update(engine)
 
     def restore(self, engine: int, suspended_at_us: int, at_us: int) -> EndpointList | None:
-        """Restore an engine; returns the update for the decisions, None if it is not listed."""
+        """Restore an engine; returns an update of its endpoint, or None if it is not listed."""
         self._suspended_at_us.pop(engine, None)
         self._restored[engine] = _Restoration(suspended_at_us, at_us)
-        return self._update_of(engine)
+        return self._endpoint_update(engine)
 
     def forget(self, engine: int) -> None:
-        """Drop the record of a suspension that ended long ago."""
+        """Forget the restoration of an engine."""
         self._restored.pop(engine, None)
 
-    def _update_of(self, engine: int) -> EndpointList | None:
+    def _endpoint_update(self, engine: int) -> EndpointList | None:
         endpoint = self._listed.get(engine)
         if endpoint is None:
             return None
@@ -73,7 +74,11 @@
     def _overlay(self, endpoint: Endpoint) -> Endpoint:
         if endpoint.engine in self._suspended_at_us and endpoint.state is EndpointState.READY:
             return replace(endpoint, state=EndpointState.DRAINING)
-        ended = self._restored.get(endpoint.engine)
-        if ended is not None and ended.restored_at_us and endpoint.started_us < ended.suspended_at_us:
-            return replace(endpoint, started_us=ended.restored_at_us)
+        restoration = self._restored.get(endpoint.engine)
+        if (
+            restoration is not None
+            and restoration.restored_at_us
+            and endpoint.started_us < restoration.suspended_at_us
+        ):
+            return replace(endpoint, started_us=restoration.restored_at_us)
         return endpoint
--- a/lilacfront/operations/operator_state.py
+++ b/lilacfront/operations/operator_state.py
@@ -1,4 +1,4 @@
-"""The operator directives in force on a front end, whichever of its processes received them. No I/O."""
+"""The operator directives of a front end, merged from all of its processes. No I/O."""
 
 from __future__ import annotations
 
@@ -7,25 +7,33 @@
 
 from lilacfront.operations.state_record import PAUSE_TARGET, OperatorDirective, merge_directives
 
-MAX_SUSPENDED = 4096  # warehouses suspended at once; fleets have some hundreds
-MAX_KNOWN_IDS = 8192  # ids listed once and remembered, those of removed warehouses among them
+MAX_SUSPENDED = 4096  # largest number of suspended warehouses; fleets have some hundreds
+MAX_KNOWN_IDS = 8192  # largest number of remembered ids, including those of removed warehouses
 MAX_DIRECTIVES = MAX_SUSPENDED + MAX_KNOWN_IDS
 
 
 class OperatorState:
-    """Directives by target. Methods that change them return those newly in force, for the caller to apply."""
+    """The latest directive for each target.
+
+    Methods that change directives return those newly in force, which the caller has to apply.
+
+    Attributes:
+        token: Unique id of this process, the author of the directives that it issues.
+        directives: The latest directive for each target.
+        paused_at: Unix time in seconds at which the pause was issued; infinite without a pause.
+    """
 
     def __init__(self, token: str, clock: Callable[[], float]) -> None:
         """Start without directives.
 
         Args:
-            token: Identifies this process as the author of directives.
-            clock: Unix time in seconds.
+            token: Unique id of this process.
+            clock: Returns the Unix time in seconds.
         """
         self.token = token
         self._clock = clock
         self.directives: dict[str, OperatorDirective] = {}
-        self._known_ids: dict[str, None] = {}  # the most recently listed last
+        self._known_ids: dict[str, None] = {}  # an ordered set, most recently listed last
         self.paused_at = math.inf
 
     @property
@@ -35,7 +43,7 @@
 
     @property
     def suspended(self) -> list[str]:
-        """Ids of the suspended warehouses, sorted."""
+        """The sorted ids of the suspended warehouses."""
         return sorted(
             directive.target
             for directive in self.directives.values()
@@ -43,16 +51,16 @@
         )
 
     def is_suspended(self, warehouse_id: str) -> bool:
-        """Whether this warehouse is suspended."""
+        """Return whether this warehouse is suspended."""
         directive = self.directives.get(warehouse_id)
         return directive is not None and directive.active
 
     def is_known(self, warehouse_id: str) -> bool:
-        """Whether the endpoint list has ever named this warehouse, as far as remembered."""
+        """Return whether the id is remembered from the endpoint list."""
         return warehouse_id in self._known_ids
 
     def record_listed(self, warehouse_ids: Iterable[str]) -> None:
-        """Remember the ids that the endpoint list names; the oldest are forgotten."""
+        """Remember ids from the endpoint list; if there are too many, forget those listed least recently."""
         for warehouse_id in warehouse_ids:
             self._known_ids.pop(warehouse_id, None)
             self._known_ids[warehouse_id] = None
@@ -60,18 +68,18 @@
             del self._known_ids[next(iter(self._known_ids))]
 
     def set_active(self, target: str, active: bool) -> list[OperatorDirective]:
-        """Issue a directive of this process; nothing happens if it says what is in force."""
+        """Issue a directive in the name of this process, unless it would change nothing."""
         previous = self.directives.get(target)
         if (previous is not None and previous.active) is active:
             return []
         now = self._clock()
-        highest = max((directive.revision for directive in self.directives.values()), default=0)
+        highest_revision = max((directive.revision for directive in self.directives.values()), default=0)
         active_since_s = now if active or previous is None else previous.active_since_s
-        directive = OperatorDirective(target, highest + 1, self.token, active, active_since_s, now)
+        directive = OperatorDirective(target, highest_revision + 1, self.token, active, active_since_s, now)
         return self.merge([directive])
 
     def merge(self, directives: Iterable[OperatorDirective]) -> list[OperatorDirective]:
-        """Merge directives that another process received."""
+        """Merge directives, and return those newly in force."""
         accepted = merge_directives(self.directives, directives)
         for directive in accepted:
             if directive.target == PAUSE_TARGET:
@@ -79,20 +87,20 @@
         return accepted
 
     def adopt(self, directives: Iterable[OperatorDirective]) -> list[OperatorDirective]:
-        """Merge directives of this front end from before a power loss, as kept on disk or by peers.
+        """Merge directives of this front end from before a power loss, read from disk or received from peers.
 
-        Directives that this process received itself win whatever their revisions, since they came later;
-        they are issued again with a higher revision.
+        Directives issued by this process are newer and take precedence whatever their revision. If a restored
+        directive has a higher revision, the one of this process is issued again with a still higher one.
         """
-        older: list[OperatorDirective] = []
+        restored: list[OperatorDirective] = []
         reissued: list[OperatorDirective] = []
         for directive in directives:
             current = self.directives.get(directive.target)
             if current is None or current.author != self.token:
-                older.append(directive)
+                restored.append(directive)
             elif directive.supersedes(current):
                 reissued.append(self._reissue(current, directive.revision + 1))
-        return self.merge([*older, *reissued])
+        return self.merge([*restored, *reissued])
 
     def _reissue(self, directive: OperatorDirective, revision: int) -> OperatorDirective:
         return OperatorDirective(
@@ -104,13 +112,17 @@
             directive.issued_at_s,
         )
 
-    def forget_expired(self, alone: bool, max_age_s: float) -> list[str]:
+    def forget_expired(self, is_only_copy: bool, max_age_s: float) -> list[str]:
         """Forget restorations older than `max_age_s`; returns their targets.
 
-        Only while nobody else keeps directives of this front end (`alone`), whose older suspension would else
-        come into force again; but in any case once there are too many.
+        While other processes or stores have copies of the directives, nothing is forgotten until there are
+        more than `MAX_DIRECTIVES`: a merged copy of the older suspension would be in force again.
+
+        Args:
+            is_only_copy: Whether no other process or store has directives of this front end.
+            max_age_s: Age in seconds up to which restorations are kept.
         """
-        if not alone and len(self.directives) <= MAX_DIRECTIVES:
+        if not is_only_copy and len(self.directives) <= MAX_DIRECTIVES:
             return []
         issued_before = self._clock() - max_age_s
         expired = [
--- a/lilacfront/operations/peers_cli.py
+++ b/lilacfront/operations/peers_cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront peers`: shows which front ends are alive, as a running one holds it."""
+"""`lilacfront peers`: shows the membership view of a running front end."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from lilacfront.operations.cli import EXIT_NO_ANSWER, request_lines
 
 ANSWER_TIMEOUT_S = 2.0
-FAILURE = "fail"  # begins the answer to a command that could not be carried out
+FAILURE = "fail"  # first word of the answer to a command that failed
 
 
 @click.command("peers")
@@ -20,19 +20,26 @@
     "--admin",
     metavar="HOST:PORT",
     default=lambda: os.environ.get("PROXY_ADMIN", ""),
-    help="The operators' address of the front end; by default what PROXY_ADMIN names.",
+    help="Admin address of the front end. Default: the environment variable PROXY_ADMIN.",
 )
-@click.option("--follow", is_flag=True, help="Go on, and print members whose state changes.")
-@click.option("--every", type=click.FloatRange(0.1, 60), default=1.0, show_default=True, help="Seconds.")
-def command(admin: str, follow: bool, every: float) -> None:
-    """Which front ends live, as one of them holds it."""
+@click.option("--follow", is_flag=True, help="Keep running, and print each member whose state changes.")
+@click.option(
+    "--every",
+    "interval_s",
+    type=click.FloatRange(0.1, 60),
+    default=1.0,
+    show_default=True,
+    help="Seconds between requests with --follow.",
+)
+def command(admin: str, follow: bool, interval_s: float) -> None:
+    """Show which front ends are alive, as seen by one of them."""
     try:
         address = parse_address(admin)
-    except EndpointListError as problem:
-        raise click.UsageError(f"--admin: {problem}") from problem
+    except EndpointListError as error:
+        raise click.UsageError(f"--admin: {error}") from error
     shown: dict[str, str] = {}
     while True:
-        summary, *members = _ask(address)
+        summary, *members = _request_members(address)
         failed = summary.startswith(FAILURE)
         if not shown or failed:
             click.echo(summary)
@@ -41,20 +48,28 @@
         shown = _print_changes(members, shown)
         if not follow:
             return
-        time.sleep(every)
+        time.sleep(interval_s)
 
 
-def _ask(address: tuple[str, int]) -> list[str]:
-    """The lines of the answer to PEERS; ends the program where there is none."""
+def _request_members(address: tuple[str, int]) -> list[str]:
+    """Return the lines of the answer to PEERS; exits the program if there is no answer."""
     try:
         return request_lines(address, "PEERS", ANSWER_TIMEOUT_S)
-    except OSError as problem:
-        click.echo(f"no answer from {address[0]}:{address[1]}: {problem}", err=True)
+    except OSError as error:
+        click.echo(f"no answer from {address[0]}:{address[1]}: {error}", err=True)
         sys.exit(EXIT_NO_ANSWER)
 
 
 def _print_changes(lines: list[str], shown: dict[str, str]) -> dict[str, str]:
-    """Print the members whose state or incarnation is not the one shown; returns those of all members."""
+    """Print the members whose state or incarnation differs from the one printed last.
+
+    Args:
+        lines: One line for each member.
+        shown: State and incarnation of each member as printed last.
+
+    Returns:
+        State and incarnation of all members.
+    """
     states: dict[str, str] = {}
     for line in lines:
         member, *words = line.split(" ")
--- a/lilacfront/operations/process_group.py
+++ b/lilacfront/operations/process_group.py
@@ -1,7 +1,8 @@
-"""Keeps the processes of one front end in step: each publishes its state, over channels and as a file.
+"""Shares state among the processes of one front end.
 
-Channels carry a state at once and without a disk. Files are for processes that start later, and tell with
-their locks who runs. The methods run on the loop; disk work is the `StateWriter`'s.
+Each process publishes its state over channels and as a file. Channels deliver it at once and need no disk.
+Processes that start later read the files, and the lock files show which processes are running. All methods
+run on the event loop; after `ProcessGroup.start`, the thread of the `StateWriter` accesses the disk.
 """
 
 from __future__ import annotations
@@ -21,20 +22,25 @@
 
 
 class GroupMember(Protocol):
-    """This process, as its group needs it."""
+    """Interface to the process that takes part in the group."""
 
     def local_state(self) -> ProcessState:
-        """The state to publish."""
+        """Return the state to publish."""
 
     def on_process_state(self, state: ProcessState) -> None:
-        """Another process has published its state."""
+        """Handle a new state of another process."""
 
     def on_processes_changed(self) -> None:
-        """Processes may have started, ended or changed their stages."""
+        """Handle a possible change of the running processes or of their stages."""
 
 
 class ProcessGroup:
-    """This process's part in the group."""
+    """The group of processes of one front end, as one of its processes sees it.
+
+    Attributes:
+        registry: The other processes of the group.
+        transfer_socket: The socket and the channels to the other processes; None without a usable directory.
+    """
 
     def __init__(
         self,
@@ -49,11 +55,11 @@
 
         Args:
             loop: The loop to run on.
-            directory: The state directory; None: this process is on its own.
+            directory: Path of the state directory; None if this process is the only one.
             front_end: Name of the front end.
-            token: Identifies this process.
-            member: Gives this process's state and receives the others'.
-            transfers: Receives messages about connections and the end of channels.
+            token: Unique id of this process.
+            member: Provides the state of this process and handles the states of the others.
+            transfers: Receives messages about connections, and a notice when a channel closes.
         """
         self._front_end = front_end
         self._token = token
@@ -71,11 +77,11 @@
 
     @property
     def is_joined(self) -> bool:
-        """Whether there is a state directory to share."""
+        """Whether the processes share a state directory."""
         return self._directory is not None
 
     def start(self) -> None:
-        """Read the states that are there, connect to the other processes and publish this one's state."""
+        """Read the saved states, connect to the running processes, and publish the state of this one."""
         if self._directory is None:
             return
         for state in self._directory.scan():
@@ -89,12 +95,12 @@
         self._writer = StateWriter(self._directory)
 
     def publish(self, remove_stale: bool = False) -> None:
-        """Send this process's state to the others and have it saved; see `StateWriter.save`."""
+        """Send the state of this process to the others and save it; see `StateWriter.save`."""
         if self._directory is None:
             return
         state = self._member.local_state()
         if self.transfer_socket is not None:
-            for channel in list(self.transfer_socket.channels):  # sending closes those of dead processes
+            for channel in list(self.transfer_socket.channels):  # `send` removes channels of dead processes
                 channel.send(StateAnnouncement(state))
         if self._writer is not None:
             self._writer.save(state, remove_stale)
@@ -102,7 +108,7 @@
             self._directory.save(state)
 
     def poll(self) -> None:
-        """Accept what the writer's scans have found."""
+        """Process the results of the scans of the state directory."""
         if self._writer is None:
             return
         has_stale = False
@@ -127,7 +133,7 @@
         self._member.on_process_state(state)
 
     def on_message(self, channel: TransferChannel, message: Message, descriptor: int | None) -> None:
-        """Accept a state that comes over a channel; other messages are about connections."""
+        """Process a state received over a channel; pass other messages to the observer of transfers."""
         if not isinstance(message, StateAnnouncement):
             self._transfers.on_message(channel, message, descriptor)
             return
@@ -141,13 +147,13 @@
         self._member.on_processes_changed()
 
     def on_channel_closed(self, channel: TransferChannel) -> None:
-        """A channel has closed, most often since its process has ended."""
+        """Forget a closed channel, whose process has usually ended."""
         self.registry.unbind(channel)
         self._transfers.on_channel_closed(channel)
         self._member.on_processes_changed()
 
     def close(self) -> None:
-        """Save a last state and leave the group."""
+        """Save the final state and leave the group."""
         if self._writer is not None:
             self._writer.close(self._member.local_state())
         elif self._directory is not None:
--- a/lilacfront/operations/process_lock.py
+++ b/lilacfront/operations/process_lock.py
@@ -1,4 +1,7 @@
-"""A lock file that tells whether its process runs: the system frees the lock however the process ends."""
+"""A lock file that shows whether its process is running.
+
+The kernel releases the lock when the process ends, even after a crash.
+"""
 
 from __future__ import annotations
 
@@ -9,12 +12,12 @@
 
 
 class ProcessLock:
-    """The exclusive lock of this process, held from construction on."""
+    """The exclusive lock of this process, acquired by the constructor."""
 
     def __init__(self, path: Path, temporary: Path) -> None:
-        """Create and lock the file under a temporary name, then give it its own.
+        """Create and lock the file under a temporary name, then rename it to `path`.
 
-        So no other process ever sees the lock file of a running process unlocked.
+        Other processes therefore never see the lock file of a running process unlocked.
 
         Raises:
             OSError: The file can't be created, locked or renamed.
@@ -30,18 +33,18 @@
             raise
 
     def close(self) -> None:
-        """Free the lock as the end of the process would; the file stays."""
+        """Release the lock as the end of the process would, and keep the file."""
         os.close(self._descriptor)
 
     def release(self) -> None:
-        """Remove the file and free the lock."""
+        """Remove the file and release the lock."""
         with contextlib.suppress(OSError):
             self._path.unlink()
         self.close()
 
 
 def is_lock_held(path: Path) -> bool:
-    """Whether the process that owns this lock file runs; False if there is no such file."""
+    """Return whether the owner of this lock file is running; False if the file can't be opened."""
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC)
     except OSError:
--- a/lilacfront/operations/process_registry.py
+++ b/lilacfront/operations/process_registry.py
@@ -1,4 +1,4 @@
-"""The other processes of this front end: which of them run, their states and channels. No I/O."""
+"""The other processes of this front end, with their states and channels. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ProcessRegistry:
-    """Processes by their tokens. A process counts as running by its lock file or by an open channel."""
+    """Processes by token. A process counts as running while it holds its lock file or has an open channel."""
 
     def __init__(self) -> None:
         self._locked: frozenset[str] = frozenset()
@@ -16,21 +16,21 @@
         self._states: dict[str, ProcessState] = {}
 
     def set_locked(self, tokens: frozenset[str]) -> None:
-        """Set which processes hold their lock files."""
+        """Set the tokens of the processes that hold their lock files."""
         self._locked = tokens
 
     def bind(self, channel: TransferChannel, token: str) -> bool:
-        """Record whose channel this is; whether that was unknown."""
+        """Record the process at the other end of a channel; returns whether the channel is new."""
         is_new = channel not in self._channels
         self._channels[channel] = token
         return is_new
 
     def unbind(self, channel: TransferChannel) -> None:
-        """Forget a channel that has closed."""
+        """Forget a closed channel."""
         self._channels.pop(channel, None)
 
     def accept(self, state: ProcessState) -> bool:
-        """Record a process's state; False if a newer one is known."""
+        """Record the state of a process; returns False if a newer one has been recorded."""
         known = self._states.get(state.token)
         if known is not None and known.saved_at_s > state.saved_at_s:
             return False
@@ -38,7 +38,7 @@
         return True
 
     def stages(self) -> dict[str, str]:
-        """The stage of each running process; one whose state is not known yet counts as starting."""
+        """Return the stage of each running process by token; without a state it is `STARTING`."""
         running = self._locked | set(self._channels.values())
         states = {token: self._states.get(token) for token in running}
         return {
@@ -47,11 +47,11 @@
         }
 
     def has_successor(self) -> bool:
-        """Whether another process runs on when this one ends."""
+        """Return whether another process is running and not shutting down."""
         return any(stage != LifecycleStage.SHUTTING_DOWN.value for stage in self.stages().values())
 
     def successor_channel(self) -> TransferChannel | None:
-        """The channel to the process that takes over, one that is ready if there is any."""
+        """Return the channel to the process that takes over, preferably one that is ready."""
         stages = self.stages()
         candidates = [
             (channel, stages.get(token))
@@ -64,7 +64,7 @@
         return candidates[-1][0] if candidates else None
 
     def forget_ended(self) -> None:
-        """Forget the states of processes that do not run any more."""
+        """Forget the states of processes that have ended."""
         running = self.stages()
         for token in [token for token in self._states if token not in running]:
             del self._states[token]
--- a/lilacfront/operations/service.py
+++ b/lilacfront/operations/service.py
@@ -1,6 +1,7 @@
-"""Operations of one process: admin commands, maintenance, draining, hand-over to another process.
+"""Operations of one process: admin commands, maintenance, draining and hand-over to another process.
 
-Coordinates the modules of this package on the loop; `OperationsHost` is the rest of the process.
+`Operations` runs on the event loop and coordinates the other modules of this package. It calls the rest of
+the process through `OperationsHost`.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 from lilacfront.sched import Loop, Task
 
 log = Log(__name__)
-IMPORT_PERIOD_S = 2.0  # from the start, in which a process uses what others have measured
+IMPORT_PERIOD_S = 2.0  # seconds after the start in which measurements of other processes are imported
 POLL_INTERVAL_S = 0.05
 
 
@@ -40,10 +41,10 @@
     """Admin commands, maintenance, draining and hand-over of one process.
 
     Attributes:
-        drains: The drain in progress, if any; tells which requests are rejected.
+        drain_controller: Starts and ends drains, and decides which requests a drain rejects.
         group: The processes of this front end.
         operator_state: The directives in force.
-        process_count: How many processes of this front end run, this one included.
+        process_count: Number of running processes of this front end, including this one.
     """
 
     def __init__(
@@ -55,15 +56,16 @@
         *,
         directives_are_durable: bool = False,
     ) -> None:
-        """Join the other processes of this front end; `start` begins the work.
+        """Join the other processes of this front end without reading or publishing any state.
 
         Args:
             loop: The loop to run on.
             front_end: Name of the front end.
-            state_directory: Directory that its processes share; None: this is the only one.
-            host: The rest of the process.
-            directives_are_durable: Directives are also kept outside these processes, so that restorations
-                must not be forgotten before the suspensions kept there.
+            state_directory: Directory that the processes of the front end share; None if this process is
+                the only one.
+            host: Interface to the rest of the process.
+            directives_are_durable: Whether directives are also stored outside these processes. If so, a
+                restoration is kept, because the stored suspension that it ends may be merged again.
         """
         self._loop = loop
         self._front_end = front_end
@@ -75,8 +77,8 @@
         self.process_count = 1
         self._started_at = loop.now
         self._readiness = Readiness(loop, host)
-        self.drains = DrainController(loop, host)
-        self._directives = DirectiveController(self.operator_state, host, self.drains)
+        self.drain_controller = DrainController(loop, host)
+        self._directives = DirectiveController(self.operator_state, host, self.drain_controller)
         self._commands = AdminCommands(self.operator_state, self)
         self._admin_server: AdminServer | None = None
         self._published_stage: LifecycleStage | None = None
@@ -85,18 +87,18 @@
 
     # ---- lifecycle ----------------------------------------------------------------------------------
     def start(self) -> None:
-        """Read what other processes have published; after this nothing on the loop waits for a disk."""
+        """Read the states of the other processes; later disk access happens in the `StateWriter` thread."""
         if self.group.is_joined:
             self.group.start()
             self.on_processes_changed()
 
     def run(self, task: Task) -> None:
-        """Follow the other processes for as long as the program runs."""
+        """Poll the states of the other processes until the program ends."""
         while self.group.is_joined:
             self._loop.sleep(task, self._loop.now + POLL_INTERVAL_S)
             try:
                 self.poll()
-            except Exception:  # whatever other processes publish, commands and clients must go on
+            except Exception:  # a faulty state of another process must not stop commands or clients
                 log.exception("process group poll failed")
 
     def close(self) -> None:
@@ -106,7 +108,7 @@
         self.group.close()
 
     def stage(self) -> LifecycleStage:
-        """The stage of this process."""
+        """Return the lifecycle stage of this process."""
         if self._shutting_down:
             return LifecycleStage.SHUTTING_DOWN
         if self.operator_state.paused:
@@ -114,30 +116,33 @@
         return LifecycleStage.READY if self._readiness.is_ready() else LifecycleStage.STARTING
 
     def is_healthy(self) -> bool:
-        """Answer the platform's health check: for the front end, not for this process alone."""
+        """Return the result of the platform's health check, which applies to the front end as a whole.
+
+        A process that has handed over stays healthy, since its successor serves at the same address.
+        """
         if self.operator_state.paused or not self._readiness.is_ready():
             return False
         return not self._shutting_down or self._handed_over
 
-    def begin_shutdown(self, kill_after_s: float, alone: DrainDeadlines) -> bool:
-        """Begin to shut down, on SIGTERM.
+    def begin_shutdown(self, kill_after_s: float, deadlines_without_successor: DrainDeadlines) -> bool:
+        """Start the shutdown after SIGTERM.
 
         Args:
-            kill_after_s: Seconds until SIGKILL.
-            alone: Deadlines for the client connections if no other process takes over.
+            kill_after_s: Seconds from now until SIGKILL.
+            deadlines_without_successor: Deadlines for the client connections if no other process takes over.
 
         Returns:
             Whether another process takes over.
         """
         self.poll()
         self._shutting_down = True
-        self.drains.begin_shutdown()
+        self.drain_controller.begin_shutdown()
         self._handed_over = self.group.registry.has_successor()
         self.group.publish()
         if self._handed_over:
-            self.drains.hand_over(self.group.registry.successor_channel(), kill_after_s)
+            self.drain_controller.hand_over(self.group.registry.successor_channel(), kill_after_s)
         else:
-            self.drains.shut_down(alone)
+            self.drain_controller.shut_down(deadlines_without_successor)
         return self._handed_over
 
     # ---- admin commands -----------------------------------------------------------------------------
@@ -151,14 +156,14 @@
         return self._admin_server
 
     def handle_line(self, line: bytes) -> AdminResponse:
-        """Answer one line of the admin protocol."""
+        """Execute one line of the admin protocol and return its answer."""
         try:
             request = parse_request(line)
         except AdminRequestError as error:
             log.info("admin request invalid", error=error)
             return failure(str(error))
         if request.command is Command.STATUS:
-            self._publish_stage()  # whoever acts on the answer finds the same in the state file
+            self._publish_stage()  # the state file must agree with the answer before a caller acts on it
         response = self._commands.execute(request)
         if request.command not in READ_ONLY_COMMANDS:
             log.warning(
@@ -170,37 +175,40 @@
             )
         return response
 
-    def status_note(self) -> str:
-        """What STATUS says beside the stage."""
-        return self._host.status_note()
+    def status_details(self) -> str:
+        """Return the text that STATUS appends to the stage and the suspended warehouses."""
+        return self._host.status_details()
 
     def member_lines(self) -> list[str] | None:
-        """The answer to PEERS."""
+        """Return the lines of the answer to PEERS; None without membership."""
         return self._host.member_lines()
 
     # ---- directives ---------------------------------------------------------------------------------
     def issue_directive(self, target: str, active: bool) -> None:
-        """Issue a directive of this process, apply it and publish it, if it changes anything."""
+        """Issue a directive in the name of this process; apply and publish it if it changes anything."""
         if self._directives.issue(target, active):
             self.group.publish()
 
     def adopt_directives(self, directives: Iterable[OperatorDirective]) -> None:
-        """Adopt directives from before a power loss, as kept on disk or by peers."""
+        """Restore directives from before a power loss, read from disk or received from peers."""
         if self._directives.adopt(directives):
             self.group.publish()
 
     def apply_maintenance(self, update: EndpointList, warehouse_ids: Iterable[str]) -> EndpointList:
-        """The update of the endpoint list as the decisions are to see it.
+        """Apply suspensions and restorations to an update of the endpoint list.
 
         Args:
-            update: The update of the list's source.
-            warehouse_ids: Ids of the warehouses that it names.
+            update: The update as received from the source of the list.
+            warehouse_ids: Ids of the warehouses in the update.
+
+        Returns:
+            The update to pass to the request router.
         """
         return self._directives.apply_maintenance(update, warehouse_ids)
 
     # ---- the other processes ------------------------------------------------------------------------
     def local_state(self) -> ProcessState:
-        """The state of this process for the others."""
+        """Return the state of this process, to be published to the other processes."""
         stage = self.stage()
         self._published_stage = stage
         return ProcessState(
@@ -214,7 +222,7 @@
         )
 
     def on_process_state(self, state: ProcessState) -> None:
-        """Use the state of another process."""
+        """Merge the directives of another process, and import its measurements shortly after the start."""
         if self._loop.now < self._started_at + IMPORT_PERIOD_S:
             self._readiness.require_seq(state.change_log_seq)
             self._host.import_learned_state(state.learned, self._loop.now - state.saved_at_s)
@@ -224,7 +232,10 @@
             self.group.publish()
 
     def on_processes_changed(self) -> None:
-        """Divide the limits among the running processes, and accept clients unless another one should."""
+        """Divide the limits by the number of running processes, and open or close the client listeners.
+
+        The listeners stay closed while this process is starting and another one is ready.
+        """
         stages = self.group.registry.stages()
         running = 1 + len(stages)
         if running != self.process_count:
@@ -234,14 +245,14 @@
             self.group.publish()
         if not self._shutting_down:
             started = self.stage() is not LifecycleStage.STARTING
-            self.drains.set_accepting(started or LifecycleStage.READY.value not in stages.values())
+            self.drain_controller.set_accepting(started or LifecycleStage.READY.value not in stages.values())
 
     def poll(self) -> None:
-        """Follow the other processes, forget old restorations, and publish a change of this one's stage."""
+        """Process new states, forget old restorations, and publish the stage if it has changed."""
         self.group.poll()
         self.on_processes_changed()
-        alone = self.process_count == 1 and not self._directives_are_durable
-        self._directives.forget_restorations(alone)
+        is_only_copy = self.process_count == 1 and not self._directives_are_durable
+        self._directives.forget_restorations(is_only_copy)
         self._publish_stage()
 
     def _publish_stage(self) -> None:
--- a/lilacfront/operations/state_record.py
+++ b/lilacfront/operations/state_record.py
@@ -1,10 +1,11 @@
-"""The records that the processes of one front end share, and the form of the file that carries them. No I/O.
+"""Records that the processes of one front end share, and the format of state files. No I/O.
 
-Two processes of one front end may both receive admin commands, stop anywhere and start anew. Each directive
-therefore carries a revision that counts on from the highest one its process knew, and the author's token as
-the tie break: the higher pair is in force. Merging is commutative, associative and idempotent.
+Several processes of one front end may receive admin commands, crash at any time and restart. Directives are
+therefore merged as last-writer-wins registers, one for each target, with Lamport timestamps. The revision of
+a new directive is one higher than the highest revision that its process knows. The directive with the highest
+pair of revision and author is in force. Merging is commutative, associative and idempotent.
 
-A state file is one line of header, `lilacfront-operations VERSION CRC32 LENGTH`, and a JSON body.
+A state file has one header line, `lilacfront-operations VERSION CRC32 LENGTH`, and a JSON body.
 """
 
 from __future__ import annotations
@@ -19,20 +20,22 @@
 VERSION = 1
 MAGIC = b"lilacfront-operations"
 MAX_FILE_BYTES = 1 << 20
-PAUSE_TARGET = ""  # no warehouse has an empty id
-HEADER_WORDS = 4
+PAUSE_TARGET = ""  # can't be the id of a warehouse, which is never empty
+HEADER_FIELD_COUNT = 4
 
 
 class OperatorDirective(msgspec.Struct, frozen=True, array_like=True):
-    """The latest admin command on one target. On the wire an array, so the order of the fields is fixed.
+    """The latest admin command for one target.
+
+    It is encoded as an array, so the order of the fields is part of the format.
 
     Attributes:
-        target: The id of a warehouse that is suspended or restored, or `PAUSE_TARGET` for the front end.
-        revision: Counts the directives of a front end; see the module.
+        target: Id of the warehouse that is suspended or restored, or `PAUSE_TARGET` for the front end.
+        revision: Logical timestamp of the directive; see the docstring of the module.
         author: Token of the process that received the command.
-        active: Whether the suspension or the pause is in force.
-        active_since_s: Unix time at which the suspension or pause began.
-        issued_at_s: Unix time of the command.
+        active: Whether the command starts the suspension or pause; otherwise it ends it.
+        active_since_s: Unix time in seconds at which the suspension or pause began.
+        issued_at_s: Unix time in seconds at which the command was received.
     """
 
     target: str
@@ -43,17 +46,17 @@
     issued_at_s: float
 
     def supersedes(self, other: OperatorDirective | None) -> bool:
-        """Tell whether this directive is newer than `other` on the same target."""
+        """Return whether this directive is newer than `other` for the same target."""
         return other is None or (self.revision, self.author) > (other.revision, other.author)
 
 
 class LearnedClass(msgspec.Struct, frozen=True, array_like=True):
-    """What a process measured of one request class; array on the wire.
+    """Measurements of one request class by one process; encoded as an array.
 
     Attributes:
-        samples: Runs seen.
-        latency_us: Expected latency of a run, in microseconds.
-        work_us: Expected processor time of a run, in microseconds.
+        samples: Number of requests measured.
+        latency_us: Expected latency of a request, in microseconds.
+        work_us: Expected processor time of a request, in microseconds.
         uncontended_us: Expected latency on an engine that runs nothing else, in microseconds.
     """
 
@@ -64,12 +67,12 @@
 
 
 class LearnedEngine(msgspec.Struct, frozen=True, array_like=True):
-    """What a process measured of one incarnation of an engine; array on the wire.
+    """Measurements of one incarnation of an engine by one process; encoded as an array.
 
     Attributes:
         engine: Number of the engine.
         started_us: Start of the incarnation, Unix time in microseconds.
-        thread_limit: Threads that may be in use there at once.
+        thread_limit: Concurrency limit of the engine, in threads.
         load_ratio: Smoothed ratio of measured to expected latency.
     """
 
@@ -80,7 +83,7 @@
 
 
 class LearnedState(msgspec.Struct, frozen=True, array_like=True):
-    """All measurements that a process passes on; array on the wire."""
+    """All measurements that a process shares with the others; encoded as an array."""
 
     classes: tuple[LearnedClass, ...] = ()
     engines: tuple[LearnedEngine, ...] = ()
@@ -98,15 +101,15 @@
         "change_log_seq": "seq",
     },
 ):
-    """Everything one process of a front end shares with the others.
+    """State that a process shares with the other processes of its front end.
 
     Attributes:
         front_end: Name of the front end.
-        token: Identifies the process.
-        stage: Value of a `LifecycleStage`; a string, since another version may have further stages.
-        saved_at_s: Unix time at which this was put together.
-        directives: The directives in force as far as the process knows.
-        learned: Measurements for a process that has none of its own yet.
+        token: Unique id of the process.
+        stage: Value of a `LifecycleStage`. It is a string, since other versions may have further stages.
+        saved_at_s: Unix time in seconds at which the record was created.
+        directives: The latest directive for each target that the process knows.
+        learned: Measurements to be used by a process that has none of its own yet.
         change_log_seq: Number of the last change log event applied; 0 without one.
     """
 
@@ -120,11 +123,11 @@
 
 
 class ProcessStateError(LilacfrontError, ValueError):
-    """A state file that is damaged, truncated, or of another version or front end."""
+    """The state file is damaged or truncated, or belongs to another version or front end."""
 
 
 def encode_state(state: ProcessState) -> bytes:
-    """Encode a process's state as the content of its file."""
+    """Encode the state of a process as the content of its state file."""
     body = msgspec.json.encode(state)
     return b"%s %d %08x %d\n%s" % (MAGIC, VERSION, zlib.crc32(body), len(body), body)
 
@@ -133,36 +136,40 @@
     """Decode the content of a state file.
 
     Raises:
-        ProcessStateError: The content is damaged, truncated, of another version or of another front end.
+        ProcessStateError: The content is damaged or truncated, or belongs to another version or front end.
     """
     header, newline, body = data.partition(b"\n")
-    words = header.split(b" ")
-    if not newline or len(words) != HEADER_WORDS or words[0] != MAGIC:
-        raise ProcessStateError("not a state file of this program")
-    _magic, version, checksum, length = words
+    fields = header.split(b" ")
+    if not newline or len(fields) != HEADER_FIELD_COUNT or fields[0] != MAGIC:
+        raise ProcessStateError("header of a state file is missing or malformed")
+    _magic, version, checksum, length = fields
     if version != b"%d" % VERSION:
-        raise ProcessStateError(f"of version {_printable(version[:8])}, not {VERSION}")
+        raise ProcessStateError(f"unsupported version {_printable(version[:8])}, expected {VERSION}")
     if length != b"%d" % len(body):
-        raise ProcessStateError(f"{len(body)} bytes long, its header says {_printable(length[:12])}")
+        raise ProcessStateError(f"body has {len(body)} bytes, but the header says {_printable(length[:12])}")
     if checksum != b"%08x" % zlib.crc32(body):
-        raise ProcessStateError("damaged: the checksum does not match")
+        raise ProcessStateError("checksum of the body does not match the header")
     try:
         state = msgspec.json.decode(body, type=ProcessState)
     except msgspec.MsgspecError as error:
         raise ProcessStateError(str(error)) from error
     if state.front_end != front_end:
-        raise ProcessStateError(f"of another front end, {state.front_end[:40]!r}")
+        raise ProcessStateError(f"state of another front end, {state.front_end[:40]!r}")
     return state
 
 
-def _printable(word: bytes) -> str:
-    return word.decode("ascii", "replace")
+def _printable(field: bytes) -> str:
+    return field.decode("ascii", "replace")
 
 
 def merge_directives(
     current: dict[str, OperatorDirective], directives: Iterable[OperatorDirective]
 ) -> list[OperatorDirective]:
-    """Merge `directives` into `current`, by target; returns those that are newly in force."""
+    """Merge `directives` into `current`, which is keyed by target.
+
+    Returns:
+        The directives that are newly in force.
+    """
     accepted = [directive for directive in directives if directive.supersedes(current.get(directive.target))]
     for directive in accepted:
         if directive.supersedes(current.get(directive.target)):
--- a/lilacfront/operations/state_writer.py
+++ b/lilacfront/operations/state_writer.py
@@ -1,7 +1,7 @@
-"""A thread that does the disk work of a `StateDirectory`.
+"""Thread that accesses a `StateDirectory`.
 
-A write, a rename or a directory listing may wait seconds for a busy disk. On the loop that would hold up
-every client of this process.
+Writing, renaming or listing files may take seconds on a busy disk, which would delay all clients if it ran on
+the event loop.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 log = Log(__name__)
 SCAN_INTERVAL_S = 0.1
-CLOSE_TIMEOUT_S = 0.3  # that the end of the process waits for the disk
+CLOSE_TIMEOUT_S = 0.3  # longest wait for the thread when the process ends
 THREAD_NAME = "state-writer"
 
 
 @dataclass(slots=True, frozen=True)
 class DirectoryScan:
-    """What one scan of the directory found.
+    """Result of one scan of the directory.
 
     Attributes:
-        states: States of other processes that are new.
-        running: Tokens of the other processes that run.
-        has_stale: Whether there are files of processes that do not.
+        states: New states of other processes.
+        running: Tokens of the other processes that are running.
+        has_stale: Whether there are files of processes that have ended.
     """
 
     states: list[ProcessState]
@@ -37,12 +37,12 @@
 
 
 class StateWriter:
-    """Saves states and scans the directory in a thread of its own."""
+    """Saves states and scans the directory in a background thread."""
 
     def __init__(self, directory: StateDirectory) -> None:
         self._directory = directory
         self._wake = threading.Event()
-        self._lock = threading.Lock()  # of the three below
+        self._lock = threading.Lock()  # guards _unsaved, _remove_stale and _stopping
         self._unsaved: ProcessState | None = None
         self._remove_stale = False
         self._stopping = False
@@ -51,11 +51,11 @@
         self._thread.start()
 
     def save(self, state: ProcessState, remove_stale: bool = False) -> None:
-        """Have a state saved; only the latest one counts.
+        """Schedule a state to be saved; it replaces one that has not been saved yet.
 
         Args:
             state: The state of this process.
-            remove_stale: The state contains what stale files say, so that these can be removed after it.
+            remove_stale: Whether to remove stale files afterwards. The state must include their content.
         """
         with self._lock:
             self._unsaved = state
@@ -63,7 +63,7 @@
         self._wake.set()
 
     def scans(self) -> Iterator[DirectoryScan]:
-        """The scans since the last call that found something new."""
+        """Yield the scans since the last call that found a change."""
         while not self._scans.empty():
             yield self._scans.get()
 
@@ -80,15 +80,15 @@
                 self._unsaved = None
                 self._remove_stale = False
             try:
-                scan = self._work(unsaved, remove_stale)
-            except Exception:  # whatever lies in that directory, the next scan has to come
+                scan = self._save_and_scan(unsaved, remove_stale)
+            except Exception:  # a faulty file in the directory must not end the thread
                 log.exception("state directory scan failed")
                 continue
             if scan.states or scan.has_stale or scan.running != last_running:
                 last_running = scan.running
                 self._scans.put(scan)
 
-    def _work(self, unsaved: ProcessState | None, remove_stale: bool) -> DirectoryScan:
+    def _save_and_scan(self, unsaved: ProcessState | None, remove_stale: bool) -> DirectoryScan:
         if unsaved is not None:
             self._directory.save(unsaved)
         if remove_stale:
@@ -98,7 +98,7 @@
         return DirectoryScan(states, running, has_stale=len(self._directory.processes) > len(running))
 
     def close(self, state: ProcessState) -> None:
-        """Save a last state, wait a little for that, and leave the directory."""
+        """Save the final state and stop; waits up to `CLOSE_TIMEOUT_S` for the thread."""
         with self._lock:
             self._unsaved = state
             self._stopping = True
--- a/lilacfront/operations/transfer_messages.py
+++ b/lilacfront/operations/transfer_messages.py
@@ -1,6 +1,7 @@
-"""Messages between the processes of one front end: msgpack arrays, each with a tag that never changes.
+"""Messages between the processes of one front end, encoded as msgpack arrays.
 
-The order of the fields is that of the array; their names are not on the wire.
+Running processes of other versions read these messages, so their tags and the order of the fields must not
+change. The names of the fields are not encoded.
 """
 
 from __future__ import annotations
@@ -9,18 +10,18 @@
 
 from lilacfront.operations.state_record import ProcessState
 
-MAX_MESSAGE_BYTES = 128 << 10  # a whole result, or the received part of a message
+MAX_MESSAGE_BYTES = 128 << 10  # enough for a complete answer, or for the received part of a message
 MAX_PARTIAL_MESSAGE_BYTES = 64 << 10  # a connection with a longer partial message is not transferred
 
 
 class ConnectionPassed(msgspec.Struct, frozen=True, tag="passed", array_like=True):
-    """A client connection is transferred; its descriptor comes with this message.
+    """Transfers a client connection; its descriptor is sent as ancillary data of this message.
 
     Attributes:
-        connection_id: Number of the connection between the two processes.
-        partial_message: What has come of the client's next message.
+        connection_id: Number that identifies the connection in later messages on this channel.
+        partial_message: The received part of the client's next message.
         pending_requests: Sequence number and id of each request in flight at the sender.
-        had_request: Whether any request ever came on the connection.
+        had_request: Whether any request has been received on the connection.
     """
 
     connection_id: int
@@ -30,7 +31,7 @@
 
 
 class AnswerReady(msgspec.Struct, frozen=True, tag="answered", array_like=True):
-    """The whole answer to a pending request, for the new owner of the connection to write."""
+    """Contains the encoded answer to a pending request, for the new owner of the connection to send."""
 
     connection_id: int
     seqid: int
@@ -38,14 +39,14 @@
 
 
 class RequestCancelled(msgspec.Struct, frozen=True, tag="given up", array_like=True):
-    """The client needs no answer to this request any more; `seqid` None: to none on the connection."""
+    """Cancels a pending request; with `seqid` None, all pending requests of the connection."""
 
     connection_id: int
     seqid: int | None = None
 
 
 class StateAnnouncement(msgspec.Struct, frozen=True, tag="spoken", array_like=True):
-    """The state of the sender, the same as in its file, without waiting for a disk."""
+    """Publishes the state of the sender, which is the same as in its state file."""
 
     state: ProcessState
 
@@ -64,6 +65,6 @@
     """Decode a message.
 
     Raises:
-        msgspec.MsgspecError: The bytes are no message.
+        msgspec.MsgspecError: The data is not a valid message.
     """
     return _DECODER.decode(data)
--- a/lilacfront/server/operations_host.py
+++ b/lilacfront/server/operations_host.py
@@ -72,7 +72,7 @@
         if self._server.recovery is not None:
             self._server.recovery.record_directive(directive)
 
-    def status_note(self) -> str:
+    def status_details(self) -> str:
         """What STATUS says of recovery; empty without it."""
         return "" if self._server.recovery is None else self._server.recovery.status_note()
 
--- a/lilacfront/server/server.py
+++ b/lilacfront/server/server.py
@@ -181,7 +181,7 @@
             platform_classes(self.config),
             self.config.memory_bytes,
             self.operations,
-            self.operations.drains,
+            self.operations.drain_controller,
         )
 
     def _listen_for_clients(self) -> None:
--- a/tests/operations/test_admin_commands.py
+++ b/tests/operations/test_admin_commands.py
@@ -25,7 +25,7 @@
     def stage(self) -> LifecycleStage:
         return self.current_stage
 
-    def status_note(self) -> str:
+    def status_details(self) -> str:
         return ""
 
     def member_lines(self) -> list[str] | None:
--- a/tests/operations/test_operator_state.py
+++ b/tests/operations/test_operator_state.py
@@ -76,5 +76,5 @@
     clock.now += 1
     state.set_active("s-1", False)
     clock.now += 1000
-    assert state.forget_expired(alone=False, max_age_s=100) == []
-    assert state.forget_expired(alone=True, max_age_s=100) == ["s-1"]
+    assert state.forget_expired(is_only_copy=False, max_age_s=100) == []
+    assert state.forget_expired(is_only_copy=True, max_age_s=100) == ["s-1"]
--- a/tests/operations/test_pinned_state.py
+++ b/tests/operations/test_pinned_state.py
@@ -119,7 +119,7 @@
     def stage(self) -> LifecycleStage:
         return LifecycleStage(self.row["stage"])
 
-    def status_note(self) -> str:
+    def status_details(self) -> str:
         return str(self.row["note"])
 
     def member_lines(self) -> list[str] | None:
--- a/tests/operations/test_service.py
+++ b/tests/operations/test_service.py
@@ -58,7 +58,7 @@
     def change_log_seq(self) -> int:
         return self.seq
 
-    def status_note(self) -> str:
+    def status_details(self) -> str:
         return ""
 
     def member_lines(self) -> list[str] | None:
--- a/tests/operations/test_state_record.py
+++ b/tests/operations/test_state_record.py
@@ -33,10 +33,10 @@
 
 
 def test_file_of_another_front_end_is_rejected(data: bytes) -> None:
-    with pytest.raises(ProcessStateError, match="another front end"):
+    with pytest.raises(ProcessStateError, match="state of another front end, 'n0'"):
         decode_state(data, "n1")
 
 
 def test_file_of_another_version_is_rejected(data: bytes) -> None:
-    with pytest.raises(ProcessStateError, match="of version 2, not 1"):
+    with pytest.raises(ProcessStateError, match="unsupported version 2, expected 1"):
         decode_state(data.replace(b" 1 ", b" 2 ", 1), "n0")
