--- a/tests/operations/conftest.py
+++ b/tests/operations/conftest.py
@@ -1,4 +1,4 @@
-"""States of processes, and a test bed of real ones, for the tests of operations."""
+"""Fixtures of the operations tests: process states, and a test bed with real processes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def make_state() -> StateFactory:
-    """Builds the state of a process of front end `n0` from its token and directives."""
+    """Returns a function that builds the state of a process from its token and directives."""
 
     def make(token: str, *directives: OperatorDirective, front_end: str = "n0") -> ProcessState:
         return ProcessState(
@@ -27,9 +27,9 @@
 
 @pytest.fixture
 def test_bed(tmp_path: Path) -> Iterator[ProcessTestBed]:
-    """Two warehouses and a change log for real processes; none is started yet."""
-    made = ProcessTestBed(tmp_path)
+    """A test bed with two warehouses and a change log; no process is started yet."""
+    processes = ProcessTestBed(tmp_path)
     try:
-        yield made
+        yield processes
     finally:
-        made.close()
+        processes.close()
--- a/tests/operations/test_admin_commands.py
+++ b/tests/operations/test_admin_commands.py
@@ -1,4 +1,4 @@
-"""The admin commands and their answers."""
+"""Tests of the admin commands and their answers."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class Process:
-    """The commands of a process that knows two warehouses, and what they had it do."""
+    """A process that knows two warehouses, and records the directives issued by commands."""
 
     def __init__(self) -> None:
         self.now = 1000.0
         self.current_stage = LifecycleStage.READY
-        self.applied: list[OperatorDirective] = []
+        self.issued: list[OperatorDirective] = []
         self.state = OperatorState("a", lambda: self.now)
         self.state.record_listed(["s-1", "s-2"])
         self._commands = AdminCommands(self.state, self)
@@ -32,7 +32,7 @@
         return None
 
     def issue_directive(self, target: str, active: bool) -> None:
-        self.applied += self.state.set_active(target, active)
+        self.issued += self.state.set_active(target, active)
 
     def execute(self, line: str) -> AdminResponse:
         return self._commands.execute(parse_request(line.encode()))
@@ -43,17 +43,25 @@
     return Process()
 
 
-def test_repeated_suspension_needs_one_restoration_and_unknown_ids_are_rejected(process: Process) -> None:
-    assert [process.execute(f"SUSPEND {id_}").ok for id_ in ("s-1", "s-1", "s-9")] == [True, True, False]
+def test_suspend_and_restore_are_idempotent_and_reject_unknown_ids(process: Process) -> None:
+    assert [process.execute(f"SUSPEND {target}").ok for target in ("s-1", "s-1", "s-9")] == [
+        True,
+        True,
+        False,
+    ]
     assert process.state.suspended == ["s-1"]
-    assert len(process.applied) == 1
+    assert len(process.issued) == 1
     assert "left out: s-1" in process.execute("STATUS").text
-    assert [process.execute(f"RESTORE {id_}").ok for id_ in ("s-1", "s-1", "s-9")] == [True, True, False]
+    assert [process.execute(f"RESTORE {target}").ok for target in ("s-1", "s-1", "s-9")] == [
+        True,
+        True,
+        False,
+    ]
     assert process.state.suspended == []
-    assert [directive.active for directive in process.applied] == [True, False]
+    assert [directive.active for directive in process.issued] == [True, False]
 
 
-def test_suspended_warehouse_can_be_restored_after_the_list_forgot_it(process: Process) -> None:
+def test_suspended_warehouse_with_forgotten_id_can_be_restored(process: Process) -> None:
     process.execute("SUSPEND s-2")
     process.state.record_listed(f"t-{number}" for number in range(MAX_KNOWN_IDS))
     assert process.execute("RESTORE s-2").ok
@@ -68,7 +76,7 @@
 
 def test_pause_and_resume_may_be_repeated(process: Process) -> None:
     assert process.execute("RESUME").ok
-    assert not process.state.paused  # nothing was paused
+    assert not process.state.paused  # RESUME without a pause changes nothing
     assert process.execute("PAUSE").ok
     assert process.execute("PAUSE").ok
     assert process.state.paused
--- a/tests/operations/test_admin_protocol.py
+++ b/tests/operations/test_admin_protocol.py
@@ -1,4 +1,4 @@
-"""Lines of the admin protocol."""
+"""Tests of parsing and encoding the admin protocol."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "request_"),
+    ("line", "expected"),
     [
         (b"STATUS", AdminRequest(Command.STATUS)),
         (b"  suspend  s-00c41f7a ", AdminRequest(Command.SUSPEND, "s-00c41f7a")),
         (b"RESTORE s-1", AdminRequest(Command.RESTORE, "s-1")),
     ],
 )
-def test_line_is_parsed_as_a_request(line: bytes, request_: AdminRequest) -> None:
-    assert parse_request(line) == request_
+def test_line_is_parsed_as_a_request(line: bytes, expected: AdminRequest) -> None:
+    assert parse_request(line) == expected
 
 
 @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
         (b"x" * 300, "at most 256 bytes"),
     ],
 )
-def test_malformed_line_is_answered_with_one_line_that_says_why(line: bytes, reason: str) -> None:
+def test_malformed_line_is_answered_with_one_line_error(line: bytes, reason: str) -> None:
     with pytest.raises(AdminRequestError) as raised:
         parse_request(line)
     assert reason in str(raised.value)
@@ -47,5 +47,5 @@
     assert answer.count(b"\n") == 1
 
 
-def test_quoted_control_characters_do_not_add_lines_to_an_answer() -> None:
+def test_control_characters_in_an_answer_are_replaced() -> None:
     assert AdminResponse(True, "a\nb", ("c\rd",)).encode() == b"ok a?b\nc?d\n"
--- a/tests/operations/test_admin_server.py
+++ b/tests/operations/test_admin_server.py
@@ -1,4 +1,4 @@
-"""The admin address and its connections."""
+"""Tests of the admin server and its connections."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 from lilacfront.sched import Loop
 
 
-class Echo:
-    """Answers each line with itself."""
+class EchoHandler:
+    """Answers each request with its own line."""
 
     def handle_line(self, line: bytes) -> AdminResponse:
         return AdminResponse(True, line.decode())
 
 
 class Rig:
-    """An admin server on a loop with a clock of its own."""
+    """An admin server on an event loop with a simulated clock."""
 
     def __init__(self) -> None:
         self.now = 1000.0
         self.loop = Loop(lambda: self.now)
-        self.server = AdminServer(self.loop, ("127.0.0.1", 0), 64, Echo())
-        self._callers: list[socket.socket] = []
+        self.server = AdminServer(self.loop, ("127.0.0.1", 0), 64, EchoHandler())
+        self._clients: list[socket.socket] = []
 
     def turn(self, seconds: float = 0.0) -> None:
         self.now += seconds
@@ -35,9 +35,9 @@
             self.loop.turn(0)
 
     def connect(self, data: bytes = b"") -> socket.socket:
-        """Connect and send; the server has accepted and read."""
+        """Connect and send `data`; returns after the server has read it."""
         sock = socket.create_connection(self.server.address)
-        self._callers.append(sock)
+        self._clients.append(sock)
         sock.settimeout(20)
         sock.sendall(data)
         self.turn()
@@ -46,21 +46,21 @@
     def close(self) -> None:
         self.server.close()
         self.loop.close()
-        for sock in self._callers:
+        for sock in self._clients:
             sock.close()
 
 
 @pytest.fixture
 def rig() -> Iterator[Rig]:
-    made = Rig()
+    server_rig = Rig()
     try:
-        yield made
+        yield server_rig
     finally:
-        made.close()
+        server_rig.close()
 
 
-def test_silent_callers_do_not_hold_up_others_and_time_out(rig: Rig) -> None:
-    for number in range(40):  # ten times the places
+def test_incomplete_requests_are_evicted_by_new_ones_and_time_out(rig: Rig) -> None:
+    for number in range(40):  # ten times the connection limit
         rig.connect(b"STAT" * (number % 2))
     assert len(rig.server.connections) == rig.server.max_connections == 4
     caller = rig.connect(b"SUS")
@@ -73,14 +73,14 @@
     assert rig.server.connections == {}
 
 
-def test_line_without_its_end_is_not_executed(rig: Rig) -> None:
-    caller = rig.connect(b"SUSPEND s-1")  # the id may be half of another
+def test_unterminated_line_is_not_executed(rig: Rig) -> None:
+    caller = rig.connect(b"SUSPEND s-1")  # may be the beginning of another id
     caller.shutdown(socket.SHUT_WR)
     rig.turn()
     assert caller.recv(100) == b"fail the call has no end of line\n"
 
 
-def test_caller_that_resets_its_connection_is_forgotten(rig: Rig) -> None:
+def test_reset_connection_is_removed(rig: Rig) -> None:
     caller = rig.connect(b"STATUS\n")
     caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     caller.close()
@@ -88,8 +88,8 @@
     assert rig.server.connections == {}
 
 
-def test_line_that_is_too_long_is_answered_without_waiting_for_its_end(rig: Rig) -> None:
+def test_overlong_line_is_answered_before_its_end(rig: Rig) -> None:
     caller = rig.connect(b"y" * 400)
-    assert caller.recv(1000).startswith(b"ok yyy")  # `parse_request` would reject it
+    assert caller.recv(1000).startswith(b"ok yyy")  # the echo handler accepts it; `parse_request` would not
     rig.turn(REQUEST_TIMEOUT_S + 0.1)
     assert rig.server.connections == {}
--- a/tests/operations/test_connection_transfer.py
+++ b/tests/operations/test_connection_transfer.py
@@ -1,4 +1,4 @@
-"""Channels between processes."""
+"""Tests of the channels between processes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Recorder:
-    """Records what happens on a channel."""
+    """Records the messages and the closing of channels."""
 
     def __init__(self) -> None:
         self.messages: list[tuple[Message, int | None]] = []
@@ -40,7 +40,7 @@
 
 
 class Rig:
-    """A channel on a loop, and the socket at its other end."""
+    """A channel on an event loop, and the socket at its other end."""
 
     def __init__(self) -> None:
         self.loop = Loop()
@@ -50,7 +50,7 @@
         self.channel = TransferChannel(self.loop, ours, self.recorder)
 
     def receive(self, data: bytes, *descriptors: int) -> None:
-        """Have the channel receive one datagram."""
+        """Send one datagram to the channel and let it receive it."""
         rights = array.array("i", descriptors)
         ancillary = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, rights)] if descriptors else []
         self.other_end.sendmsg([data], ancillary)
@@ -68,11 +68,11 @@
 
 @pytest.fixture
 def rig() -> Iterator[Rig]:
-    made = Rig()
+    channel_rig = Rig()
     try:
-        yield made
+        yield channel_rig
     finally:
-        made.close()
+        channel_rig.close()
 
 
 def test_connection_arrives_with_its_descriptor(rig: Rig) -> None:
@@ -87,7 +87,7 @@
         os.close(open_descriptor)
 
 
-def test_connection_that_comes_without_its_descriptor_is_cancelled(rig: Rig) -> None:
+def test_connection_without_descriptor_is_cancelled(rig: Rig) -> None:
     rig.receive(encode_message(PASSED))
     assert rig.recorder.messages == []
     assert decode_message(rig.other_end.recv(100)) == RequestCancelled(PASSED.connection_id)
@@ -97,11 +97,11 @@
 @pytest.mark.parametrize(
     ("data", "descriptors"),
     [
-        pytest.param(b"\xc1", 0, id="no-message"),
-        pytest.param(b"\xc1", 1, id="no-message-with-a-descriptor"),
-        pytest.param(encode_message(AnswerReady(1, 1, b"")), 1, id="descriptor-of-no-connection"),
+        pytest.param(b"\xc1", 0, id="undecodable"),
+        pytest.param(b"\xc1", 1, id="undecodable-with-descriptor"),
+        pytest.param(encode_message(AnswerReady(1, 1, b"")), 1, id="unexpected-descriptor"),
         pytest.param(encode_message(PASSED), 2, id="two-descriptors"),
-        pytest.param(encode_message(AnswerReady(1, 1, bytes(MAX_MESSAGE_BYTES))), 0, id="too-long"),
+        pytest.param(encode_message(AnswerReady(1, 1, bytes(MAX_MESSAGE_BYTES))), 0, id="message-too-long"),
     ],
 )
 def test_malformed_message_closes_the_channel_and_its_descriptors(
@@ -111,17 +111,17 @@
     rig.receive(data, *([rig.other_end.fileno()] * descriptors))
     assert rig.recorder.messages == []
     assert rig.recorder.closed == [rig.channel]
-    assert len(open_descriptors()) == len(before) - 1  # the channel's own
+    assert len(open_descriptors()) == len(before) - 1  # the channel closed its socket
 
 
-def test_channel_to_a_process_that_does_not_read_closes_with_all_its_descriptors(rig: Rig) -> None:
+def test_channel_with_too_many_queued_messages_closes_all_descriptors(rig: Rig) -> None:
     before = open_descriptors()
     for _ in range(MAX_QUEUED_MESSAGES + 1000):
         rig.channel.send(PASSED, os.dup(rig.other_end.fileno()))
         if rig.channel.closed:
             break
     assert rig.recorder.closed == [rig.channel]
-    rig.channel.send(PASSED, os.dup(rig.other_end.fileno()))  # closed at once
+    rig.channel.send(PASSED, os.dup(rig.other_end.fileno()))  # a closed channel closes the descriptor at once
     rig.channel.close()
     assert rig.recorder.closed == [rig.channel]
     assert len(open_descriptors()) == len(before) - 1
--- a/tests/operations/test_draining.py
+++ b/tests/operations/test_draining.py
@@ -1,4 +1,4 @@
-"""The drain in progress."""
+"""Tests of starting and ending drains."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from lilacfront.operations.draining import DrainController
 from lilacfront.sched import Loop
 
-ALONE = shutdown_deadlines(0.8, 3.5)
+SHUTDOWN_DEADLINES = shutdown_deadlines(0.8, 3.5)
 
 
-class Target:
-    """Client listeners that record what they are told."""
+class RecordingTarget:
+    """Records the calls of a `DrainController`."""
 
     def __init__(self) -> None:
         self.drains: list[Drain | None] = []
@@ -28,47 +28,51 @@
         self.accepting.append(accepting)
 
     def transfer_connections(self, successor: TransferChannel) -> None:
-        raise AssertionError(f"there is no successor, yet {successor}")
+        raise AssertionError(f"connections were transferred to {successor} without a successor")
 
 
 @pytest.fixture
-def target() -> Target:
-    return Target()
+def target() -> RecordingTarget:
+    return RecordingTarget()
 
 
 @pytest.fixture
-def drains(target: Target) -> Iterator[DrainController]:
+def controller(target: RecordingTarget) -> Iterator[DrainController]:
     loop = Loop(lambda: 100.0)
     yield DrainController(loop, target)
     loop.close()
 
 
-def test_pause_is_drained_from_its_command_on_until_resumed(drains: DrainController, target: Target) -> None:
-    drains.pause(99.0)
-    drains.resume()
+def test_pause_drains_from_its_command_until_resume(
+    controller: DrainController, target: RecordingTarget
+) -> None:
+    controller.pause(99.0)
+    controller.resume()
     assert target.drains == [Drain(99.0, PAUSE_DEADLINES), None]
 
 
-def test_shutdown_keeps_the_sooner_deadlines_of_a_pause(drains: DrainController, target: Target) -> None:
-    drains.pause(99.0)
-    drains.begin_shutdown()
-    drains.shut_down(ALONE)
+def test_shutdown_keeps_the_drain_of_a_pause(controller: DrainController, target: RecordingTarget) -> None:
+    controller.pause(99.0)
+    controller.begin_shutdown()
+    controller.shut_down(SHUTDOWN_DEADLINES)
     assert target.drains == [Drain(99.0, PAUSE_DEADLINES)]
 
 
-def test_pause_and_resume_change_nothing_during_a_shutdown(drains: DrainController, target: Target) -> None:
-    drains.begin_shutdown()
-    drains.shut_down(ALONE)
-    drains.pause(100.0)
-    drains.resume()
-    assert target.drains == [Drain(100.0, ALONE)]
+def test_pause_and_resume_are_ignored_during_shutdown(
+    controller: DrainController, target: RecordingTarget
+) -> None:
+    controller.begin_shutdown()
+    controller.shut_down(SHUTDOWN_DEADLINES)
+    controller.pause(100.0)
+    controller.resume()
+    assert target.drains == [Drain(100.0, SHUTDOWN_DEADLINES)]
 
 
 def test_hand_over_without_a_channel_closes_the_listeners_and_drains(
-    drains: DrainController, target: Target
+    controller: DrainController, target: RecordingTarget
 ) -> None:
-    drains.begin_shutdown()
-    drains.hand_over(None, 5.7)
-    drains.set_accepting(False)  # as it is
+    controller.begin_shutdown()
+    controller.hand_over(None, 5.7)
+    controller.set_accepting(False)  # already closed, so the target is not called again
     assert target.accepting == [False]
     assert target.drains == [Drain(100.0, handover_deadlines(5.7, transferred=False))]
--- a/tests/operations/test_maintenance.py
+++ b/tests/operations/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Suspended warehouses, as the decisions see them."""
+"""Tests of the overlay of suspensions on the endpoint list."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
 @pytest.fixture
 def maintenance() -> Maintenance:
-    """Two engines are listed, and the first has been suspended at 100 s."""
-    made = Maintenance()
-    made.apply(EndpointList(ListScope.SNAPSHOT, (READY, replace(READY, engine=2))))
-    update = made.suspend(1, 100 * US_PER_S)
+    """A list of two engines, of which the first was suspended at 100 s."""
+    with_suspension = Maintenance()
+    with_suspension.apply(EndpointList(ListScope.SNAPSHOT, (READY, replace(READY, engine=2))))
+    update = with_suspension.suspend(1, 100 * US_PER_S)
     assert update is not None
     assert update.endpoints[0].state is EndpointState.DRAINING
-    return made
+    return with_suspension
 
 
 @pytest.mark.parametrize("scope", ListScope)
@@ -34,24 +34,24 @@
     "endpoint",
     [READY, replace(READY, started_us=105 * US_PER_S), replace(READY, state=EndpointState.DRAINING)],
 )
-def test_suspended_engine_drains_whatever_the_list_says(
+def test_suspended_engine_stays_draining_after_list_updates(
     maintenance: Maintenance, scope: ListScope, endpoint: Endpoint
 ) -> None:
-    seen = maintenance.apply(EndpointList(scope, (endpoint,))).endpoints[0]
-    assert seen.state is EndpointState.DRAINING
+    overlaid = maintenance.apply(EndpointList(scope, (endpoint,))).endpoints[0]
+    assert overlaid.state is EndpointState.DRAINING
 
 
-def test_restored_engine_counts_as_started_at_its_restoration(maintenance: Maintenance) -> None:
+def test_restored_engine_has_restoration_as_start_time(maintenance: Maintenance) -> None:
     removed = delta(replace(READY, state=EndpointState.REMOVED))
     assert maintenance.apply(removed).endpoints[0].state is EndpointState.REMOVED
-    assert maintenance.restore(1, 100 * US_PER_S, 110 * US_PER_S) is None  # it is not listed
+    assert maintenance.restore(1, 100 * US_PER_S, 110 * US_PER_S) is None  # it is not in the list
     restarted = replace(READY, started_us=108 * US_PER_S)
-    assert maintenance.apply(delta(restarted)).endpoints[0] == restarted  # the list knows of its restart
+    assert maintenance.apply(delta(restarted)).endpoints[0] == restarted  # the list reports the restart
     restored = replace(READY, started_us=110 * US_PER_S)
     assert maintenance.apply(delta(READY)).endpoints[0] == restored
 
 
-def test_suspended_engine_gets_nothing_new_and_finishes_what_runs() -> None:
+def test_suspended_engine_gets_no_new_requests_and_finishes_running_ones() -> None:
     maintenance = Maintenance()
     fleet = endpoints(2)
     router = make_router(policy_settings(replace(LONG, deadline_us=60 * US_PER_S)), fleet)
@@ -64,5 +64,5 @@
         attempts = forwards(receive_request(router, number * 1000, number, time_left_us=60 * US_PER_S))
         assert all(attempt.engine != first.engine for attempt in attempts)
     end_attempt(router, US_PER_S, first, AttemptResult.OK)
-    assert not router.state.engines[first.engine].error_rate  # it is not taken for faulty
+    assert not router.state.engines[first.engine].error_rate  # the engine is not treated as faulty
     assert not router.state.ejected_engines
--- a/tests/operations/test_operator_state.py
+++ b/tests/operations/test_operator_state.py
@@ -1,4 +1,4 @@
-"""Operator directives: how they merge, hold and expire."""
+"""Tests of merging and expiring operator directives."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Clock:
-    """A clock that the test sets."""
+    """A simulated clock."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -26,30 +26,30 @@
 
 
 def random_directives(rng: random.Random) -> list[OperatorDirective]:
-    """Directives of three processes; no process uses a revision twice."""
+    """Generate directives of three processes with unique pairs of revision and author."""
     targets = ["s-1", "s-2", PAUSE_TARGET]
-    keys = rng.sample([(revision, author) for revision in range(6) for author in "abc"], 12)
+    timestamps = rng.sample([(revision, author) for revision in range(6) for author in "abc"], 12)
     return [
         OperatorDirective(rng.choice(targets), revision, author, rng.random() < 0.5, 1.0, float(revision))
-        for revision, author in keys
+        for revision, author in timestamps
     ]
 
 
 def merged_in_random_order(
     rng: random.Random, directives: list[OperatorDirective]
 ) -> dict[str, OperatorDirective]:
-    """Merge all in two parts, some of them twice."""
+    """Merge all directives in random order and in two batches, some of them twice."""
     current: dict[str, OperatorDirective] = {}
     repeated = directives + rng.sample(directives, 5)
     rng.shuffle(repeated)
-    half = rng.randrange(len(repeated))
-    merge_directives(current, repeated[:half])
-    merge_directives(current, repeated[half:])
+    split = rng.randrange(len(repeated))
+    merge_directives(current, repeated[:split])
+    merge_directives(current, repeated[split:])
     assert merge_directives(current, directives) == []
     return current
 
 
-def test_directives_merge_to_the_same_in_any_order_and_repetition() -> None:
+def test_merge_is_independent_of_order_and_repetition() -> None:
     rng = random.Random(5)
     for _ in range(200):
         directives = random_directives(rng)
@@ -57,7 +57,7 @@
         assert merged[0] == merged[1] == merged[2]
 
 
-def test_last_directive_of_two_processes_wins_at_both(clock: Clock) -> None:
+def test_latest_directive_wins_at_both_processes(clock: Clock) -> None:
     old = OperatorState("a", clock)
     new = OperatorState("b", clock)
     old.set_active("s-1", True)
@@ -70,7 +70,7 @@
     assert old.suspended == []
 
 
-def test_restoration_is_forgotten_only_when_nobody_keeps_the_older_suspension(clock: Clock) -> None:
+def test_restoration_expires_only_without_other_copies(clock: Clock) -> None:
     state = OperatorState("b", clock)
     state.set_active("s-1", True)
     clock.now += 1
--- a/tests/operations/test_pinned_state.py
+++ b/tests/operations/test_pinned_state.py
@@ -1,7 +1,7 @@
-"""The bytes and decisions that other processes, files and callers rely on, as released versions made them.
+"""Tests that encoded data, admin answers and drain decisions are the same as in released versions.
 
-The fixtures were written by the program as it stood before its names changed. A difference here is a change
-of a format that running processes and stored files use.
+The fixtures were recorded with a released version. A difference means that this version can't exchange data
+with running processes or stored files of that version.
 """
 
 from __future__ import annotations
@@ -66,8 +66,8 @@
         (LearnedEngine(17, 1700000000000000, 12.5, 1.25), LearnedEngine(2, 0, 4.0, 0.0)),
     ),
 )
-BARE_STATE = ProcessState(front_end="", token="a", stage="starting", saved_at_s=0.0)
-STATES = {"state-full.json": FULL_STATE, "state-bare.json": BARE_STATE}
+MINIMAL_STATE = ProcessState(front_end="", token="a", stage="starting", saved_at_s=0.0)
+STATES = {"state-full.json": FULL_STATE, "state-bare.json": MINIMAL_STATE}
 MESSAGES: dict[str, Message] = {
     "connection_passed": ConnectionPassed(
         7, b"\x80\x01\x00\x01half", ((1, b"000000000000000a"), (-2, b"")), True
@@ -77,12 +77,12 @@
     "request_cancelled": RequestCancelled(7, 3),
     "connection_cancelled": RequestCancelled(7),
     "state_announcement": StateAnnouncement(FULL_STATE),
-    "state_announcement_bare": StateAnnouncement(BARE_STATE),
+    "state_announcement_bare": StateAnnouncement(MINIMAL_STATE),
 }
 
 
-def rows(name: str) -> Any:
-    """The content of one JSON fixture."""
+def load_json(name: str) -> Any:
+    """Return the content of a JSON fixture."""
     return json.loads((FIXTURES / name).read_text())
 
 
@@ -96,18 +96,21 @@
 
 @pytest.mark.parametrize("name", MESSAGES)
 def test_message_between_processes_is_read_and_written_byte_for_byte(name: str) -> None:
-    data = bytes.fromhex(rows("messages.json")[name])
+    data = bytes.fromhex(load_json("messages.json")[name])
     message = decode_message(data)
     assert message == MESSAGES[name]
     assert encode_message(message) == data
 
 
 def test_every_pinned_message_is_checked() -> None:
-    assert set(rows("messages.json")) == set(MESSAGES)
+    assert set(load_json("messages.json")) == set(MESSAGES)
 
 
-class Replay:
-    """Executes the pinned admin lines in order, a second apart, under the conditions of each row."""
+class AdminReplay:
+    """Executes the admin requests of the fixture in order, one second apart.
+
+    Each row contains the state of the process in which its request is executed.
+    """
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -138,32 +141,32 @@
             return failure(str(error))
 
 
-def test_admin_answers_and_the_directives_they_leave_are_the_released_ones() -> None:
-    replay = Replay()
-    for row in rows("admin.json"):
+def test_admin_answers_and_directives_match_the_fixture() -> None:
+    replay = AdminReplay()
+    for row in load_json("admin.json"):
         assert replay.execute(row).encode() == bytes.fromhex(row["answer"]), bytes.fromhex(row["line"])
         directives = [msgspec.to_builtins(directive) for directive in replay.state.directives.values()]
         assert directives == row["directives"]
 
 
-class IgnoredChannels:
-    """A process that does nothing about its channels."""
+class NullObserver:
+    """Ignores the messages and the closing of channels."""
 
     def on_message(self, channel: TransferChannel, message: Message, descriptor: int | None) -> None: ...
     def on_channel_closed(self, channel: TransferChannel) -> None: ...
 
 
-def test_names_of_the_files_in_the_state_directory(tmp_path: Path) -> None:
-    expected = rows("files.json")
+def test_file_names_in_state_directory_match_the_fixture(tmp_path: Path) -> None:
+    expected = load_json("files.json")
     loop = Loop()
     first = StateDirectory(str(tmp_path), "n/0 ä", "1a2b-17f0")
     first.save(FULL_STATE)
     second = StateDirectory(str(tmp_path), "n" * 80, "b")
-    second.save(BARE_STATE)
-    sockets = TransferSocket(loop, str(tmp_path), "1a2b-17f0", IgnoredChannels())
+    second.save(MINIMAL_STATE)
+    transfer_socket = TransferSocket(loop, str(tmp_path), "1a2b-17f0", NullObserver())
     assert sorted(os.listdir(tmp_path)) == expected["running"]
     first.close()
-    sockets.close()
+    transfer_socket.close()
     assert sorted(os.listdir(tmp_path)) == expected["ended"]
     second.close()
     loop.close()
@@ -179,16 +182,18 @@
 
 
 @pytest.mark.parametrize("kind", DEADLINES)
-def test_drain_decisions_are_the_released_ones(kind: str) -> None:
-    start = 100.0
-    drain = Drain(start, DEADLINES[kind])
-    checked = 0
-    for name, elapsed, connected, last_request, busy, partial, action, retry_after_s in rows("drain.json"):
+def test_drain_decisions_match_the_fixture(kind: str) -> None:
+    started_at = 100.0
+    drain = Drain(started_at, DEADLINES[kind])
+    checked_rows = 0
+    for name, elapsed, connected, last_request, busy, partial, action, retry_after_s in load_json(
+        "drain.json"
+    ):
         if name != kind:
             continue
-        checked += 1
-        last_request_at = last_request if last_request < 0 and not busy else start + last_request
-        connection = ConnectionStatus(start + connected, last_request_at, busy, partial)
-        assert drain.decide(start + elapsed, connection) is ACTIONS[action]
-        assert drain.retry_after_s(start + elapsed, start + connected) == retry_after_s
-    assert checked == 153
+        checked_rows += 1
+        last_request_at = last_request if last_request < 0 and not busy else started_at + last_request
+        connection = ConnectionStatus(started_at + connected, last_request_at, busy, partial)
+        assert drain.decide(started_at + elapsed, connection) is ACTIONS[action]
+        assert drain.retry_after_s(started_at + elapsed, started_at + connected) == retry_after_s
+    assert checked_rows == 153
--- a/tests/operations/test_process_registry.py
+++ b/tests/operations/test_process_registry.py
@@ -1,4 +1,4 @@
-"""The other processes of a front end."""
+"""Tests of the registry of other processes."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from lilacfront.sched import Loop
 
 
-class NoObserver:
-    """Ignores what happens on channels."""
+class NullObserver:
+    """Ignores the messages and the closing of channels."""
 
     def on_message(self, channel: TransferChannel, message: Message, descriptor: int | None) -> None: ...
     def on_channel_closed(self, channel: TransferChannel) -> None: ...
@@ -26,19 +26,19 @@
 def make_channel() -> Iterator[Callable[[], TransferChannel]]:
     loop = Loop()
     channels: list[TransferChannel] = []
-    others: list[socket.socket] = []
+    other_ends: list[socket.socket] = []
 
     def make() -> TransferChannel:
-        ours, other = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        others.append(other)
-        channels.append(TransferChannel(loop, ours, NoObserver()))
+        own_end, other_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        other_ends.append(other_end)
+        channels.append(TransferChannel(loop, own_end, NullObserver()))
         return channels[-1]
 
     yield make
     for channel in channels:
         channel.close()
-    for other in others:
-        other.close()
+    for other_end in other_ends:
+        other_end.close()
     loop.close()
 
 
@@ -58,7 +58,7 @@
 ) -> None:
     state = make_state("a")
     assert registry.accept(state)
-    assert registry.accept(state)  # the same one may come over a channel and as a file
+    assert registry.accept(state)  # the same state may arrive over a channel and in a file
     assert not registry.accept(msgspec.structs.replace(state, saved_at_s=0.5))
 
 
--- a/tests/operations/test_processes.py
+++ b/tests/operations/test_processes.py
@@ -1,4 +1,4 @@
-"""One real process: pause, admin commands, the command line, starts that fail."""
+"""Tests of one real process: pause, admin commands, command line and failing starts."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
     assert process.admin_request("STATUS") == "fail paused"
     idle.wait_until_closed()
     test_bed.release()
-    assert busy.is_served(load)  # what runs finishes, and then its connection is closed
+    assert busy.is_served(load)  # the request in flight finishes before the connection is closed
     busy.wait_until_closed()
-    late = ThriftClient(test_bed.address)
-    late.wait_until_served()  # the platform may still route here: served, and then closed, too
-    late.wait_until_closed()
+    new_client = ThriftClient(test_bed.address)
+    new_client.wait_until_served()  # the platform may still route here, so new connections are served
+    new_client.wait_until_closed()
     assert process.admin_request("RESUME").startswith("ok")
     assert ThriftClient(test_bed.address).ping()
 
 
-def test_admin_requests_are_answered_while_hundreds_of_callers_and_clients_hang(
+def test_admin_requests_are_answered_despite_many_idle_connections(
     test_bed: ProcessTestBed,
 ) -> None:
     process = test_bed.start().wait_until_ready()
@@ -57,33 +57,33 @@
 @pytest.mark.parametrize(
     ("environment", "message"),
     [
-        ({"PROXY_ADMIN": "{taken}"}, "PROXY_ADMIN or admin: {taken}: Address already in use"),
+        ({"PROXY_ADMIN": "{used_address}"}, "PROXY_ADMIN or admin: {used_address}: Address already in use"),
         ({"PROXY_ADMIN": "nowhere"}, "PROXY_ADMIN: 'nowhere' is not HOST:PORT"),
-        ({"PROXY_LISTEN": "{taken}"}, "listen: {taken}: Address already in use"),
+        ({"PROXY_LISTEN": "{used_address}"}, "listen: {used_address}: Address already in use"),
         ({"PROXY_PASSED_SOCKET": "97"}, "PROXY_PASSED_SOCKET: descriptor 97: Bad file descriptor"),
         ({"PROXY_PASSED_SOCKET": "1"}, "PROXY_PASSED_SOCKET: descriptor 1 is no"),
         ({"PROXY_PASSED_SOCKET": "x"}, "PROXY_PASSED_SOCKET: 'x' is not a descriptor number"),
     ],
 )
-def test_unusable_address_or_descriptor_ends_the_start_with_one_line(
+def test_unusable_address_or_descriptor_fails_start_with_one_log_line(
     test_bed: ProcessTestBed, environment: dict[str, str], message: str
 ) -> None:
-    taken = "{}:{}".format(*test_bed.address)
-    variables = {key: value.format(taken=taken) for key, value in environment.items()}
+    used_address = "{}:{}".format(*test_bed.address)
+    variables = {key: value.format(used_address=used_address) for key, value in environment.items()}
     process = test_bed.start(passed=False, **{"PROXY_LISTEN": "127.0.0.1:0", **variables})
     assert process.wait_until_ended() == 2
     assert len(process.log_lines) == 1
-    text = process.log_lines[0]["event"]
-    assert message.format(taken=taken) in text
-    assert "Traceback" not in text
+    event = process.log_lines[0]["event"]
+    assert message.format(used_address=used_address) in event
+    assert "Traceback" not in event
 
 
-def test_command_line_gives_the_same_answers_with_exit_codes(test_bed: ProcessTestBed) -> None:
+def test_ops_commands_print_answers_and_set_exit_codes(test_bed: ProcessTestBed) -> None:
     process = test_bed.start().wait_until_ready()
 
-    def ops(*words: str, admin: str = "") -> tuple[int, str]:
+    def ops(*arguments: str, admin: str = "") -> tuple[int, str]:
         admin = admin or "{}:{}".format(*process.admin_address)
-        result = CliRunner().invoke(main, ["ops", "--admin", admin, *words])
+        result = CliRunner().invoke(main, ["ops", "--admin", admin, *arguments])
         return result.exit_code, result.output.strip()
 
     assert ops("status") == (0, "ok ready")
--- a/tests/operations/test_service.py
+++ b/tests/operations/test_service.py
@@ -1,4 +1,4 @@
-"""Operations of processes that share a front end, on one loop without real processes."""
+"""Tests of `Operations`, with several instances on one event loop instead of real processes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class IdleHost:
-    """A process with an up-to-date endpoint list and nothing to act on."""
+    """A host with an up-to-date endpoint list that ignores all other calls."""
 
     def __init__(self, seq: int = 0) -> None:
         self.seq = seq
@@ -66,7 +66,7 @@
 
 
 def turn_until(loop: Loop, done: Callable[[], object], what: str) -> None:
-    """Run a loop until `done` returns something true."""
+    """Run a loop until `done` returns a true value."""
 
     def is_done() -> object:
         loop.turn(0.01)
@@ -76,7 +76,7 @@
 
 
 class Group:
-    """Processes of one front end on one loop."""
+    """Simulated processes of one front end on one event loop."""
 
     def __init__(self, directory: Path, clock: Callable[[], float] | None = None) -> None:
         self.loop = Loop(clock)
@@ -89,7 +89,7 @@
         return process
 
     def start(self) -> Operations:
-        """One more process, which follows the others and knows a warehouse."""
+        """Start a process that polls the others and knows a warehouse."""
         process = self.create()
         process.start()
         process.operator_state.record_listed(["s-1"])
@@ -97,11 +97,11 @@
         return process
 
     def until(self, done: Callable[[], object], what: str) -> None:
-        """Run the loop until `done`."""
+        """Run the loop until `done` returns a true value."""
         turn_until(self.loop, done, what)
 
     def stop(self) -> None:
-        """End all processes in order."""
+        """Close all processes in the order of their start."""
         while self._processes:
             self._processes.pop(0).close()
 
@@ -112,11 +112,11 @@
 
 @pytest.fixture
 def group(tmp_path: Path) -> Iterator[Group]:
-    made = Group(tmp_path)
+    processes = Group(tmp_path)
     try:
-        yield made
+        yield processes
     finally:
-        made.close()
+        processes.close()
 
 
 def test_limits_are_divided_among_the_processes() -> None:
@@ -138,7 +138,7 @@
         rig.until(lambda: listener.open_count == 30, "the connections")
         server.set_process_count(2)
         assert limits() == tuple(limit // 2 for limit in alone)
-        assert listener.open_count == 16  # idle ones were closed
+        assert listener.open_count == 16  # idle connections were closed
         server.set_process_count(1)
         assert limits() == alone
         for client in clients:
@@ -174,15 +174,18 @@
     loop.close()
 
 
-def test_blocked_disk_holds_up_neither_commands_nor_the_other_process(
+def test_blocked_disk_does_not_delay_directives(
     group: Group, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """On an upgrade a rename once took seconds on a busy disk, and all clients waited."""
+    """State files are written outside the event loop.
+
+    A rename may take seconds on a busy disk, during which all clients would wait.
+    """
     released = threading.Event()
     save = StateDirectory.save
 
     def blocked_save(directory: StateDirectory, state: ProcessState) -> None:
-        assert threading.current_thread().name == THREAD_NAME, "a write on the loop"
+        assert threading.current_thread().name == THREAD_NAME, "state file written on the event loop"
         released.wait(30)
         save(directory, state)
 
@@ -204,21 +207,21 @@
     assert all(not directive.active for state in saved for directive in state.directives)
 
 
-def test_command_is_executed_though_the_other_process_has_just_died(group: Group) -> None:
-    """A channel that closed while the state was published once ended the loop over the channels."""
+def test_command_succeeds_after_death_of_other_process(group: Group) -> None:
+    """Publishing must tolerate a channel that closes while the state is sent to all channels."""
     process = group.create()
     process.start()
     process.operator_state.record_listed(["s-1"])
-    ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    own_end, other_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     transfer_socket = process.group.transfer_socket
     assert transfer_socket is not None
-    assert transfer_socket.open_channel(ours) is not None
-    theirs.close()
+    assert transfer_socket.open_channel(own_end) is not None
+    other_end.close()
     assert process.handle_line(b"SUSPEND s-1").ok
     assert not transfer_socket.channels
 
 
-def test_new_process_is_not_ready_before_it_has_the_events_of_the_old_one(tmp_path: Path) -> None:
+def test_new_process_is_ready_only_after_catching_up(tmp_path: Path) -> None:
     now = 1000.0
     group = Group(tmp_path, lambda: now)
     try:
@@ -232,7 +235,7 @@
         assert old.handle_line(b"STATUS").ok
         host.seq = 5
         assert new.handle_line(b"STATUS").ok
-        third.start()  # for it the log is renumbered: the wait is limited
+        third.start()  # never reaches event 5, as if the change log had been renumbered
         assert not third.handle_line(b"STATUS").ok
         now += CATCH_UP_TIMEOUT_S
         group.loop.clock()
--- a/tests/operations/test_state_record.py
+++ b/tests/operations/test_state_record.py
@@ -1,4 +1,4 @@
-"""The form of state files."""
+"""Tests of the format of state files."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 @pytest.fixture
 def data(make_state: Callable[..., ProcessState]) -> bytes:
-    """A whole state file of front end `n0`."""
+    """The content of a valid state file of front end `n0`."""
     return encode_state(make_state("a", OperatorDirective("s-1", 1, "a", True, 1.0, 1.0)))
 
 
-def test_file_truncated_flipped_or_continued_at_any_byte_is_rejected(data: bytes) -> None:
+def test_damaged_file_is_rejected(data: bytes) -> None:
     assert decode_state(data, "n0").directives[0].target == "s-1"
-    for at in range(len(data)):
-        truncated = data[:at]
-        flipped = data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
-        continued = data + data[: at + 1]
-        for damaged in (truncated, flipped, continued):
+    for index in range(len(data)):
+        truncated = data[:index]
+        bit_flipped = data[:index] + bytes([data[index] ^ 1]) + data[index + 1 :]
+        extended = data + data[: index + 1]
+        for damaged in (truncated, bit_flipped, extended):
             with pytest.raises(ProcessStateError):
                 decode_state(damaged, "n0")
 
