--- a/lilacfront/operations/drain.py
+++ b/lilacfront/operations/drain.py
@@ -2,10 +2,10 @@
 
 A pause, a shutdown and a hand-over to a new process differ only in their deadlines. The steps of a drain:
 
-1. New connections and requests are still served, since the platform may still route them here.
+1. At first, all connections and requests are served, since the platform may still route them here.
 2. From `idle_s` on, a connection is closed once no request is in flight on it. Its client then reconnects to
    another process or front end.
-3. From `reject_s` on, new requests are rejected. Connections that are never idle end this way.
+3. From `reject_s` on, new requests are rejected. This makes connections idle that would not be so otherwise.
 4. From `abort_s` on, recent requests are failed. Older requests may finish.
 """
 
--- a/lilacfront/operations/host.py
+++ b/lilacfront/operations/host.py
@@ -18,7 +18,7 @@
         """Pass an update of the endpoint list to the request router."""
 
     def set_process_count(self, processes: int) -> None:
-        """Divide the limits of the front end by the number of its running processes, at least 1."""
+        """Divide the limits of the front end by the number of its running processes."""
 
     def on_directive(self, directive: OperatorDirective) -> None:
         """Handle a directive that is newly in force, received by this or another process."""
--- a/lilacfront/operations/service.py
+++ b/lilacfront/operations/service.py
@@ -43,7 +43,7 @@
     Attributes:
         drain_controller: Starts and ends drains, and decides which requests a drain rejects.
         group: The processes of this front end.
-        operator_state: The directives in force.
+        operator_state: The latest operator directives.
         process_count: Number of running processes of this front end, including this one.
     """
 
@@ -56,7 +56,7 @@
         *,
         directives_are_durable: bool = False,
     ) -> None:
-        """Join the other processes of this front end without reading or publishing any state.
+        """Join the process group of this front end, without reading or publishing any state yet.
 
         Args:
             loop: The loop to run on.
@@ -102,7 +102,7 @@
                 log.exception("process group poll failed")
 
     def close(self) -> None:
-        """Close the admin address and leave the other processes."""
+        """Close the admin server and leave the process group."""
         if self._admin_server is not None:
             self._admin_server.close()
         self.group.close()
--- a/lilacfront/operations/state_directory.py
+++ b/lilacfront/operations/state_directory.py
@@ -201,7 +201,7 @@
                 raise ProcessStateError(f"file is longer than {MAX_FILE_BYTES} bytes")
             state = decode_state(stream.read(MAX_FILE_BYTES + 1), self.front_end)
         if state.token != process.token:
-            raise ProcessStateError("state belongs to another process than the file name")
+            raise ProcessStateError("state of another process than the one in the file name")
         return state
 
     def _is_new_error(self, name: str, reason: str) -> bool:
