--- a/tests/operations/test_state_record.py
+++ b/tests/operations/test_state_record.py
@@ -1,4 +1,4 @@
-"""The form of state files."""
+"""Tests of the format of state files."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 
 @pytest.fixture
 def data(make_state: Callable[..., ProcessState]) -> bytes:
-    """A whole state file of front end `n0`."""
+    """The content of a valid state file of front end `n0`."""
     return encode_state(make_state("a", OperatorDirective("s-1", 1, "a", True, 1.0, 1.0)))
 
 
-def test_file_truncated_flipped_or_continued_at_any_byte_is_rejected(data: bytes) -> None:
+def test_damaged_file_is_rejected(data: bytes) -> None:
     assert decode_state(data, "n0").directives[0].target == "s-1"
-    for at in range(len(data)):
-        truncated = data[:at]
-        flipped = data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]
-        continued = data + data[: at + 1]
-        for damaged in (truncated, flipped, continued):
+    for index in range(len(data)):
+        truncated = data[:index]
+        bit_flipped = data[:index] + bytes([data[index] ^ 1]) + data[index + 1 :]
+        extended = data + data[: index + 1]
+        for damaged in (truncated, bit_flipped, extended):
             with pytest.raises(ProcessStateError):
                 decode_state(damaged, "n0")
 
 
 def test_file_of_another_front_end_is_rejected(data: bytes) -> None:
-    with pytest.raises(ProcessStateError, match="another front end"):
+    with pytest.raises(ProcessStateError, match="state of another front end, 'n0'"):
         decode_state(data, "n1")
 
 
 def test_file_of_another_version_is_rejected(data: bytes) -> None:
-    with pytest.raises(ProcessStateError, match="of version 2, not 1"):
+    with pytest.raises(ProcessStateError, match="unsupported version 2, expected 1"):
         decode_state(data.replace(b" 1 ", b" 2 ", 1), "n0")
