--- a/lilacfront/decisions/actions.py
+++ b/lilacfront/decisions/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the router asks of the caller. Times are integer microseconds on the caller's clock."""
+"""Actions that the router requests from the caller. Times are integer microseconds on the caller's clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Forward:
-    """Send the next attempt of a request; `deadline_us` 0: as long as the client waits."""
+    """Send the next attempt of a request to an engine; a `deadline_us` of 0 means no deadline."""
 
     request: int
     engine: int
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: the request was rejected, and trying again is harmless."""
+    """Final answer: the request was rejected, and the client may safely retry it."""
 
     request: int
     retry_after_us: int = 0
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetRequestTerms:
-    """Set a request's memory (0: the engine chooses) and priority for its next attempts."""
+    """Set the memory and priority of a request's next attempts; 0 MB lets the engine choose the memory."""
 
     request: int
     memory_mb: float
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Send `TimerFired` with this token at a time."""
+    """Send the event `TimerFired` with this token at the time `at_us`."""
 
     at_us: int
     token: int
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPeerMessage:
-    """Send a message to one peer, or to all (None)."""
+    """Send a message to one peer, or to all peers if `peer` is None."""
 
     peer: int | None
     data: bytes
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Subscribe to changes of the endpoint list, or stop."""
+    """Subscribe to changes of the endpoint list, or unsubscribe if not `enabled`."""
 
     enabled: bool
 
--- a/lilacfront/decisions/admission.py
+++ b/lilacfront/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission: requests are forwarded where there is capacity, wait while that can pay off, or are rejected."""
+"""Admission: forwards requests to engines with capacity, queues them for a limited time, or rejects them."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from lilacfront.decisions.state import PendingRequest, RouterState
 from lilacfront.decisions.tenant_quota import TenantQuotas
 
-MAX_WAIT_FRACTION = 0.35  # of the time that a request can spare before its objective
-MAX_WAITING_PER_CORE = 3  # more could not start while waiting still pays
+MAX_WAIT_FRACTION = 0.35  # fraction of a request's slack (see `set_wait`) that it may wait
+MAX_WAITING_PER_CORE = 3  # a longer queue could not be served before the maximum waits end
 
 
 class Admission:
-    """The queue of requests that wait for an engine, the highest value density first."""
+    """A queue of requests that wait for an engine, in descending order of value density."""
 
     def __init__(
         self,
@@ -30,9 +30,9 @@
         self._lifecycle = lifecycle
 
     def prepare(self, request: PendingRequest) -> None:
-        """Set a new request's value density, and how long it may wait."""
+        """Set the value density of a new request; a request over its tenant's quota may not wait."""
         state, received, estimate = self._state, request.received, request.estimate
-        usual_work_us = estimate.uncrowded_work_us if state.is_pooled else estimate.work_us
+        usual_work_us = estimate.uncontended_work_us if state.is_pooled else estimate.work_us
         work_us = float(received.estimated_work_us or 0) or usual_work_us
         request.value_density = request.spec.priority_weight / max(1.0, work_us)
         if self._quotas.charge(received):
@@ -40,13 +40,16 @@
             request.wait_until_us = state.now_us
 
     def set_wait(self, request: PendingRequest, until_us: int) -> None:
-        """Let the request wait for a part of the time that it can spare before `until_us`."""
+        """Allow the request to wait for a fraction of its slack.
+
+        The slack is the time until `until_us` minus the likely run time.
+        """
         now_us = self._state.now_us
         spare_us = max(0.0, until_us - now_us - request.likely_run_time_us())
         request.wait_until_us = now_us + int(MAX_WAIT_FRACTION * spare_us)
 
     def admit(self, request: PendingRequest) -> None:
-        """Forward the request, let it wait, or answer it."""
+        """Forward the request, queue it, or give the final answer if it may not wait."""
         engine = self._selection.select(request)
         if engine is not None:
             self._lifecycle.forward(request, engine)
@@ -58,10 +61,11 @@
                 self._lifecycle.answer(self.waiting.pop())
 
     def dispatch(self, max_misses: int | None = None) -> None:
-        """Forward what waits and fits; answer what has waited long enough.
+        """Forward queued requests to engines with capacity; answer those whose wait has ended.
 
         Args:
-            max_misses: Stop after this many requests without an engine; None: go through all.
+            max_misses: Number of requests without an engine after which no engine is sought for the rest;
+                None means no limit.
         """
         misses_left = len(self.waiting) if max_misses is None else max_misses
         still_waiting = []
--- a/lilacfront/decisions/attempt_evaluation.py
+++ b/lilacfront/decisions/attempt_evaluation.py
@@ -1,4 +1,4 @@
-"""What is learnt from the end of an attempt: on its class, its engine's load and health, and the limits."""
+"""Updates class estimates, engine load, engine health and limits from the results of attempts."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from lilacfront.decisions.slow_start import SlowStart
 from lilacfront.decisions.state import Attempt, Engine, PendingRequest, RouterState
 
-IDLE_CPU_UTILIZATION = 0.7  # cores less busy than this are not what made a request late
+IDLE_CPU_UTILIZATION = 0.7  # below this CPU utilization, latency is not attributed to overload
 INITIAL_RATIO = 1.0
-CUT_SHORT = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
+ENDED_BEFORE_RESPONSE = (AttemptResult.TIMEOUT, AttemptResult.CANCELLED)
 ANSWERED_BY_ENGINE = (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.REJECTED)
 
 
 class AttemptEvaluation:
-    """Feeds the end of an attempt to all that learn from it."""
+    """Passes the result of each attempt to the modules that learn from it."""
 
     def __init__(
         self,
@@ -37,13 +37,13 @@
         self._monitor = monitor
 
     def record(self, request: PendingRequest, attempt: Attempt, event: AttemptEnded) -> None:
-        """Learn from an attempt that has just ended."""
-        # At least one: an answer within one clock tick must not make a class's work zero.
+        """Record an attempt that has just ended."""
+        # At least 1 us: a response within one clock tick must not make the work of its class zero.
         duration_us = max(1, self._state.now_us - attempt.sent_us)
         likely_us = request.likely_run_time_us()
         engine, result = attempt.engine, event.result
         has_load = self._loads.record_report(engine, event.report)
-        if not has_load and result in CUT_SHORT and duration_us > likely_us:
+        if not has_load and result in ENDED_BEFORE_RESPONSE and duration_us > likely_us:
             self._loads.record_slow_attempt(engine, duration_us, likely_us)
         if result in ANSWERED_BY_ENGINE:
             engine.last_response_us = self._state.now_us
@@ -57,10 +57,10 @@
     def _update_limits(
         self, request: PendingRequest, engine: Engine, event: AttemptEnded, duration_us: int
     ) -> None:
-        """Steer the engine's limit and the pooled one by the attempt's latency."""
+        """Update the limit of the engine and the pooled limit from the latency of the attempt."""
         ratio = self._latency_ratio(request, engine, event, duration_us)
         concurrency, threads = engine.concurrency, request.spec.threads
-        if event.result in CUT_SHORT:
+        if event.result in ENDED_BEFORE_RESPONSE:
             if ratio <= max(concurrency.latency_ratio, INITIAL_RATIO):
                 return
         elif event.result is not AttemptResult.OK:
@@ -76,7 +76,10 @@
     def _latency_ratio(
         self, request: PendingRequest, engine: Engine, event: AttemptEnded, duration_us: int
     ) -> float:
-        """Observed to target latency; a warming engine is slow without being crowded."""
+        """Return the ratio of observed to target latency, corrected for slowness that is not overload.
+
+        A warming engine is slow without being overloaded, and so may be an engine with low CPU utilization.
+        """
         work_us = event.work_us or request.received.estimated_work_us
         ratio = duration_us / request.latency_objective_us(work_us) / TARGET_OBJECTIVE_FRACTION
         if not self._state.is_pooled:
@@ -87,10 +90,10 @@
         return min(ratio, 1.0) if report.cpu_utilization < IDLE_CPU_UTILIZATION else ratio
 
     def _mean_ratio(self) -> float:
-        """The mean smoothed ratio of the engines present, for one that has none yet."""
+        """Return the mean smoothed ratio of the ready engines, as the initial ratio of another engine."""
         known = [
             engine.concurrency.latency_ratio
-            for engine in self._state.present_engines
+            for engine in self._state.ready_engines
             if engine.concurrency.has_ratio
         ]
         return sum(known) / len(known) if known else INITIAL_RATIO
--- a/lilacfront/decisions/attempt_monitor.py
+++ b/lilacfront/decisions/attempt_monitor.py
@@ -1,4 +1,4 @@
-"""Running attempts: engines that fell silent, and attempts that take far too long and are moved."""
+"""Monitoring of running attempts: detects unresponsive engines and retries overdue attempts elsewhere."""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
 from lilacfront.decisions.state import Attempt, Engine, PendingRequest, RouterState
 from lilacfront.membership.outlier_gossip import OutlierReason
 
-MAX_DUE_ANSWERS = 6.0  # answers due and not received from which an engine counts as silent
-MAX_DUE_PER_ATTEMPT = 3.0  # a single attempt may just be long
-MAX_MISSED_NOTIFICATIONS = 2.5  # notification intervals without a response
-RETRY_TIME_FACTOR = 1.5  # likely run times that must be left before the deadline
-MIN_PROGRESS = 0.02  # from which the end of an attempt is extrapolated
-MIN_PROGRESS_AGE = 0.5  # likely run times from which it is
-RESCHEDULE_TOKENS_PER_REQUEST = 0.01  # enough to see whether it pays
+MAX_MISSING_RESPONSES = 6.0  # expected responses not received at which an engine counts as silent
+MAX_MISSING_PER_ATTEMPT = 3.0  # cap for one attempt, which may simply be long
+MAX_MISSED_NOTIFICATIONS = 2.5  # notification intervals without a response before an engine counts as silent
+RETRY_TIME_FACTOR = 1.5  # time needed before the deadline for a retry, in likely run times
+MIN_PROGRESS_FRACTION = 0.02  # lowest reported progress from which the run time is extrapolated
+MIN_PROGRESS_TIME_FACTOR = 0.5  # shortest elapsed time for extrapolation, in likely run times
+RESCHEDULE_TOKENS_PER_REQUEST = 0.01  # enough to find out whether rescheduling helps
 MAX_RESCHEDULE_TOKENS = 12.0
-MAX_RETRY_BUDGET_FRACTION = 0.5  # the rest is kept for attempts that failed
+MAX_RETRY_BUDGET_FRACTION = 0.5  # the rest of the retry budget is reserved for failed attempts
 
 
 class AttemptMonitor:
-    """Watches what runs, and cancels attempts that had better run elsewhere.
+    """Cancels attempts on silent engines and overdue attempts, so that they are retried elsewhere.
 
     Attributes:
-        reschedule_tokens: Overdue attempts that may be cancelled. Requests earn them slowly, and one that
-            then ends in time earns one back, so that nothing is moved for long where all engines are slow.
+        reschedule_tokens: Number of overdue attempts that may be cancelled. Each new request adds a small
+            fraction of a token, and a rescheduled request that ends in time adds a whole one. So rescheduling
+            soon stops if all engines are slow.
     """
 
     def __init__(
@@ -51,7 +52,7 @@
         self._lifecycle = lifecycle
 
     def earn_tokens(self, tokens: float) -> None:
-        """Permit more overdue attempts to be moved."""
+        """Add tokens for rescheduling overdue attempts."""
         self.reschedule_tokens = min(MAX_RESCHEDULE_TOKENS, self.reschedule_tokens + tokens)
 
     def record_notification(self, event: AttemptNotification) -> None:
@@ -68,7 +69,7 @@
             self._move_from_blocked_engine(request, attempt)
 
     def check_active_engines(self) -> None:
-        """Eject engines that fell silent, and move what runs there or is overdue."""
+        """Eject silent engines, and cancel their attempts and overdue attempts for a retry."""
         for engine in list(self._state.active_engines.values()):
             is_silent = self._is_silent(engine)
             if is_silent:
@@ -80,13 +81,13 @@
                     request.was_rescheduled = self.cancel_for_retry(request, attempt)
                     self.reschedule_tokens -= request.was_rescheduled
 
-    def forgive_silence(self) -> None:
-        """This gateway stood still itself: what it did not hear may be on its way."""
+    def reset_silence_timers(self) -> None:
+        """Restart the silence timers after a stall of this gateway: responses may be waiting to be read."""
         for engine in self._state.engines.values():
             engine.last_response_us = self._state.now_us
 
     def cancel_for_retry(self, request: PendingRequest, attempt: Attempt) -> bool:
-        """Cancel an attempt for a retry elsewhere, where that is safe, within budget and can end in time."""
+        """Cancel an attempt if a retry is safe, within budget and likely to end before the deadline."""
         limits = self._state.settings.limits
         retry_end_us = self._state.now_us + RETRY_TIME_FACTOR * request.likely_run_time_us()
         if request.is_answered or attempt.is_cancelled or attempt.is_streaming:
@@ -100,46 +101,54 @@
         return attempt.is_cancelled
 
     def _is_retry_safe(self, request: PendingRequest, retry_end_us: float) -> bool:
-        """Whether the request may run again; of many gateways, also by its key while its window lasts."""
+        """Return whether the request may run twice.
+
+        With pooled limits this includes keyed requests within their deduplication window.
+        """
         if self._state.is_pooled and request.spec.idempotency is Idempotency.IDEMPOTENT_BY_KEY:
             return retry_end_us < self._state.now_us + self._retries.window_left_us(request)
         return request.is_idempotent
 
     def _move_from_blocked_engine(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Move an attempt that waits for another client's load, and keep its table group away from there.
+        """Cancel an attempt that waits for another client's data load, and block its table group there.
 
-        It has done nothing yet, so moving it costs nothing.
+        The attempt has done no work yet, so a retry elsewhere wastes none.
         """
         estimates = self._state.class_estimates
         load_us = max((e.run_time_us for e in estimates if e.spec.is_load), default=0.0)
         engine = attempt.engine
         engine.blocked_until_us[request.received.table_group] = self._state.now_us + int(load_us / 2)
-        others = (other for other in self._state.present_engines if other is not engine)
+        others = (other for other in self._state.ready_engines if other is not engine)
         if any(self._capacity.has_capacity(other, request) for other in others):
             self.cancel_for_retry(request, attempt)
 
     def _is_silent(self, engine: Engine) -> bool:
-        """Whether answers are due from the engine and none came: a hang, a dead link, a stalled machine.
+        """Return whether the engine has stopped responding: it hangs, its host stalls or the network is down.
 
-        A crowded engine is slow, too, so the silence must also last well past the shortest likely time.
+        That is so if responses are expected by the likely run times and none arrives. An overloaded engine is
+        slow as well, so the silence must also last several times the shortest likely run time. An engine that
+        misses its progress notifications counts as silent, too.
         """
         now_us = self._state.now_us
         silence_us = now_us - engine.last_response_us
-        due = 0.0
+        missing_responses = 0.0
         shortest_us = math.inf
         for request, attempt in engine.attempts.values():
             likely_us = request.likely_run_time_us()
-            due += min(MAX_DUE_PER_ATTEMPT, min(now_us - attempt.sent_us, silence_us) / likely_us)
+            missing_responses += min(
+                MAX_MISSING_PER_ATTEMPT, min(now_us - attempt.sent_us, silence_us) / likely_us
+            )
             shortest_us = min(shortest_us, likely_us)
-        is_silent = due >= MAX_DUE_ANSWERS and silence_us >= OVERDUE_FACTOR * shortest_us
+        is_silent = missing_responses >= MAX_MISSING_RESPONSES and silence_us >= OVERDUE_FACTOR * shortest_us
         interval_us = self._state.settings.notification_interval_us or math.inf
         is_silent = is_silent or silence_us > MAX_MISSED_NOTIFICATIONS * interval_us
         return is_silent and now_us >= engine.ejected_until_us
 
     def _may_reschedule(self, request: PendingRequest, attempt: Attempt) -> bool:
-        """Whether an attempt is overdue and may be moved once: a bad plan, a stuck query.
+        """Return whether an attempt is overdue, as with a bad plan or a stuck query, and may be rescheduled.
 
-        Where limits are pooled none is moved: long requests, restarted, would crowd out those in time.
+        A request is rescheduled once at most, and never if limits are pooled: restarts of long requests
+        would take capacity from requests that are still in time.
         """
         if self._state.is_pooled or request.was_rescheduled or self.reschedule_tokens < 1.0:
             return False
@@ -147,8 +156,8 @@
         return self._expected_run_time_us(attempt, likely_us) > OVERDUE_FACTOR * likely_us
 
     def _expected_run_time_us(self, attempt: Attempt, likely_us: float) -> int:
-        """How long the attempt has run, or will, by its progress."""
+        """Return the remaining run time extrapolated from the reported progress, else the elapsed time."""
         elapsed_us = self._state.now_us - attempt.sent_us
-        if attempt.progress > MIN_PROGRESS and elapsed_us > MIN_PROGRESS_AGE * likely_us:
+        if attempt.progress > MIN_PROGRESS_FRACTION and elapsed_us > MIN_PROGRESS_TIME_FACTOR * likely_us:
             return int((attempt.progress_at_us - attempt.sent_us) * (1.0 / attempt.progress - 1.0))
         return elapsed_us
--- a/lilacfront/decisions/concurrency_limit.py
+++ b/lilacfront/decisions/concurrency_limit.py
@@ -1,17 +1,16 @@
-"""The AM-C concurrency limit: how many threads may run at once, steered by observed latency."""
+"""AM-C, an adaptive concurrency limit: adjusts the number of running threads to the observed latency."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-UPDATE_GAIN = (
-    0.8  # AM-C's gamma 0.1 (thesis, 7.3.1) times its ceiling of 8 s, for a ratio in place of seconds
-)
-MAX_SAMPLE_RATIO = 2.0  # a single slow query may be its own fault
-RATIO_SMOOTHING = 0.5  # weight of one whole turn of the limit's threads in the smoothed ratio
+# AM-C's gamma of 0.1 (thesis, 7.3.1) times its ceiling of 8 s, since latency is a ratio here, not seconds.
+UPDATE_GAIN = 0.8
+MAX_SAMPLE_RATIO = 2.0  # cap, as a single slow query may be slow by itself
+RATIO_SMOOTHING = 0.5  # weight of one turn, in which all threads of the limit end once
 MAX_GROWTH_PER_TURN = 1.25
-MIN_SHRINK_PER_TURN = 0.5  # the ratio lags by about one turn
-INITIAL_THREADS_PER_CORE = 3.0  # over all gateways
+MIN_SHRINK_PER_TURN = 0.5  # bounded because the ratio lags by about one turn
+INITIAL_THREADS_PER_CORE = 3.0  # sum over all gateways
 NO_RATIO = -1.0
 
 
@@ -20,11 +19,11 @@
     """A limit on this gateway's threads.
 
     Attributes:
-        limit: The most threads that may run at once.
-        latency_ratio: Smoothed ratio of observed to target latency; below 0 before the first sample.
-        used: Threads that run now.
+        limit: Maximum number of threads that may run at once.
+        latency_ratio: Smoothed ratio of observed to target latency; negative before the first sample.
+        used: Number of running threads.
         was_full: Whether a request did not fit since the last update.
-        peak_used: The most threads that ran since the last update.
+        peak_used: Maximum number of threads that ran at once since the last update.
     """
 
     limit: float
@@ -39,7 +38,7 @@
         return self.latency_ratio >= 0
 
     def reset(self, limit: float) -> None:
-        """Start anew from `limit`; the threads in use stay."""
+        """Reset to the initial state with `limit`; running threads remain counted."""
         self.limit = limit
         self.latency_ratio = NO_RATIO
         self.was_full = False
@@ -63,17 +62,18 @@
         min_limit: float,
         min_turn_threads: float = 0.0,
     ) -> None:
-        """Learn from one attempt: the limit B becomes N / (1 + gain (L - 1)) (thesis, eq. 6.1).
+        """Update the limit from one attempt: the new limit is N / (1 + gain (L - 1)) (thesis, eq. 6.1).
 
-        A whole step is spread over one turn of the limit, since L shows a change one turn later. N is the
-        limit itself when it was full, and the peak use since the last update when it was not.
+        L is the smoothed latency ratio. N is the current limit if it was full, else the peak use since the
+        last update. A step is spread over one turn, in which all threads of the limit end once, because L
+        reflects a change one turn later.
 
         Args:
-            ratio: Observed to target latency of the attempt.
-            threads: The threads of the attempt.
-            initial_ratio: What the smoothed ratio starts from.
-            min_limit: The least limit.
-            min_turn_threads: The least number of threads in a turn; other than 0 for a pooled limit.
+            ratio: Ratio of observed to target latency of the attempt.
+            threads: Number of threads of the attempt.
+            initial_ratio: Initial value of the smoothed ratio.
+            min_limit: Lower bound of the limit.
+            min_turn_threads: Lower bound of the threads in a turn; nonzero only for the pooled limit.
         """
         weight = min(1.0, threads / max(min_turn_threads, self.limit))
         if self.latency_ratio < 0:
--- a/lilacfront/decisions/endpoint_table.py
+++ b/lilacfront/decisions/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The engines known, kept up to date by discovery's endpoint lists."""
+"""The table of known engines, updated from the endpoint lists of discovery."""
 
 from __future__ import annotations
 
@@ -23,25 +23,28 @@
         self._failed_polls = 0
 
     def poll_backoff_us(self) -> int:
-        """How long to wait after one more failed call: ever longer, but well before the list is stale."""
+        """Count a failed poll and return the exponential backoff.
+
+        The backoff is at most half the poll deadline, so that the list is polled again before it is stale.
+        """
         self._failed_polls += 1
         poll_deadline_us = self._state.settings.rules.poll_deadline_us
         max_us = (poll_deadline_us or MAX_POLL_BACKOFF_US) // 2
         return min(MIN_POLL_BACKOFF_US << min(self._failed_polls, MAX_POLL_BACKOFF_DOUBLINGS), max_us)
 
     def apply(self, event: EndpointList) -> None:
-        """Apply a list that arrived: add, update and remove engines."""
+        """Add, update and remove engines by a received endpoint list."""
         if event.scope is not ListScope.CACHED:
             self._failed_polls = 0
         for endpoint in event.endpoints:
             self._apply_endpoint(endpoint)
         if event.scope is not ListScope.DELTA:
             self._mark_unlisted({endpoint.engine for endpoint in event.endpoints})
-        self._drop_idle_removed()
-        self._update_views()
+        self._forget_idle_removed()
+        self._update_derived_state()
 
     def refresh_warming(self) -> None:
-        """Drop engines that have warmed up from the list of those that are warming."""
+        """Remove engines that have warmed up from `warming_engines`."""
         state = self._state
         state.warming_engines = [
             engine for engine in state.warming_engines if self._slow_start.is_warming(engine.endpoint)
@@ -77,27 +80,27 @@
             engine.is_removed = engine.is_removed or number not in listed
             engine.is_leaving = engine.is_leaving or engine.is_removed
 
-    def _drop_idle_removed(self) -> None:
-        """Forget removed engines on which nothing runs, so that the table stays small."""
+    def _forget_idle_removed(self) -> None:
+        """Delete removed engines without running attempts, so that the table stays small."""
         removed = [e for e in self._state.engines.values() if e.is_removed and not e.attempts]
         for engine in removed:
             self._loads.forget(engine)
             del self._state.engines[engine.number]
 
-    def _update_views(self) -> None:
-        """Derive the lists that the decisions read, and whether limits are pooled.
+    def _update_derived_state(self) -> None:
+        """Recompute the engine lists of the state, and whether limits are pooled.
 
-        Where the initial limit of an engine would not hold one request of each gateway, one limit over all
-        engines admits requests instead.
+        Limits are pooled if a gateway's share of the initial limit of an engine would be too small for a
+        request of the class with the most threads.
         """
         state = self._state
-        state.present_engines = [engine for engine in state.engines.values() if not engine.is_leaving]
-        state.warming_engines = state.present_engines
+        state.ready_engines = [engine for engine in state.engines.values() if not engine.is_leaving]
+        state.warming_engines = state.ready_engines
         self.refresh_warming()
-        state.ejected_engines = {e.number for e in state.present_engines if e.ejected_until_us}
-        cores = sum(engine.cores for engine in state.present_engines)
+        state.ejected_engines = {e.number for e in state.ready_engines if e.ejected_until_us}
+        cores = sum(engine.cores for engine in state.ready_engines)
         threads = INITIAL_THREADS_PER_CORE * cores / state.settings.gateway_count
-        state.is_pooled = threads < state.max_class_threads * len(state.present_engines)
+        state.is_pooled = threads < state.max_class_threads * len(state.ready_engines)
         self._loads.update_engines()
         zones = {number: engine.endpoint.zone for number, engine in state.engines.items()}
         state.outlier_gossip.set_engines(zones)
--- a/lilacfront/decisions/engine_capacity.py
+++ b/lilacfront/decisions/engine_capacity.py
@@ -1,4 +1,4 @@
-"""Whether an engine has capacity for a request: limits, reported load, ejection and running loads."""
+"""Capacity check of one engine by its limit, reported load, ejection and running data loads."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class EngineCapacity:
-    """The capacity of single engines.
+    """Checks whether an engine has capacity for a request.
 
     Attributes:
-        max_load_per_core: The load up to which an engine has capacity, where limits are pooled.
+        max_load_per_core: Load per core up to which an engine has capacity if limits are pooled.
     """
 
     def __init__(self, state: RouterState, loads: LoadView, slow_start: SlowStart) -> None:
@@ -21,29 +21,32 @@
         self._slow_start = slow_start
 
     def has_capacity(self, engine: Engine, request: PendingRequest, *, ignore_ejection: bool = False) -> bool:
-        """Whether the request fits on the engine now."""
-        if not ignore_ejection and self._is_barred(engine, request):
+        """Return whether the engine has capacity for the request now."""
+        if not ignore_ejection and self._is_ejected_for(engine, request):
             return False
         spec = request.spec
-        if (spec.is_load or spec.waits_for_loads) and self._is_loading(engine, request):
+        if (spec.is_load or spec.waits_for_loads) and self._is_table_group_loading(engine, request):
             return False
         if engine.concurrency.used + spec.threads > engine.concurrency.limit:
             engine.concurrency.was_full = True
             return False
-        return not self._state.is_pooled or self._is_load_low(engine)
+        return not self._state.is_pooled or self._is_below_max_load(engine)
 
-    def _is_barred(self, engine: Engine, request: PendingRequest) -> bool:
-        """Whether the engine is ejected, here or by other gateways' gossip, and the request is no trial."""
+    def _is_ejected_for(self, engine: Engine, request: PendingRequest) -> bool:
+        """Return whether an ejection by this gateway or its peers excludes the request from the engine.
+
+        An idempotent request of the fewest threads may run as a trial.
+        """
         state = self._state
         is_trial = request.is_idempotent and request.spec.threads <= state.min_class_threads
         if engine.ejected_until_us:
-            is_due = state.now_us >= engine.ejected_until_us
-            if not is_trial or engine.attempts or not is_due:
+            has_ejection_ended = state.now_us >= engine.ejected_until_us
+            if not is_trial or engine.attempts or not has_ejection_ended:
                 return True
         return state.outlier_gossip.blocks(engine.number, is_trial, state.now_us)
 
-    def _is_loading(self, engine: Engine, request: PendingRequest) -> bool:
-        """Whether a load holds the request's table group there."""
+    def _is_table_group_loading(self, engine: Engine, request: PendingRequest) -> bool:
+        """Return whether a data load locks the request's table group on the engine."""
         table_group = request.received.table_group
         if engine.blocked_until_us.get(table_group, 0) > self._state.now_us:
             return True
@@ -52,11 +55,11 @@
             for other, _ in engine.attempts.values()
         )
 
-    def _is_load_low(self, engine: Engine) -> bool:
-        """Whether the engine's load leaves capacity.
+    def _is_below_max_load(self, engine: Engine) -> bool:
+        """Return whether the load per core is below its limit.
 
-        Reports count queries and limits threads, so the two are kept apart. A warming engine has capacity by
-        its budget until it reports its load.
+        Load reports count queries and the concurrency limit counts threads, so this check is separate from
+        that of the limit. A warming engine that has not reported its load is limited by its budget alone.
         """
         capacity = 1.0
         if engine in self._state.warming_engines:
--- a/lilacfront/decisions/events.py
+++ b/lilacfront/decisions/events.py
@@ -1,6 +1,6 @@
-"""Events that the caller hands to the router. Times are integer microseconds on the caller's clock.
+"""Events that the caller passes to the router. Times are integer microseconds on the caller's clock.
 
-An engine is an integer that the caller chooses and keeps the same across restarts of that engine.
+The caller assigns each engine a number, which stays the same when the engine restarts.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class EndpointState(Enum):
-    """Discovery's state of one engine."""
+    """State of an engine according to discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -20,10 +20,10 @@
 class ListScope(Enum):
     """What an endpoint list covers."""
 
-    CACHED = "cached"  # the whole list as last seen by this gateway, maybe stale
+    CACHED = "cached"  # the whole list from this gateway's cache, possibly stale
     SNAPSHOT = "full"
     DELTA = "delta"
-    FAILED = "failed"  # a call failed or the subscription dropped; the old list remains
+    FAILED = "failed"  # a call failed or the subscription ended; the previous list stays in use
 
 
 class AttemptResult(Enum):
@@ -40,17 +40,17 @@
 
 
 class NotificationKind(Enum):
-    """What a notification of a running attempt is about."""
+    """Subject of a notification about a running attempt."""
 
-    PROGRESS = "progress"  # value: the fraction done, roughly
-    SPILLING = "spills"  # value: MB missing
+    PROGRESS = "progress"  # value: approximate fraction done
+    SPILLING = "spills"  # value: missing memory in MB
     WAITING_FOR_MEMORY = "waits for memory"
     WAITING_FOR_LOAD = "waits for a load"
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One entry of the endpoint list. `started_us` 0: a long time ago."""
+    """One entry of the endpoint list; a `started_us` of 0 means that the engine is not warming up."""
 
     engine: int
     state: EndpointState
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """An engine's load report; None where it does not report a value."""
+    """An engine's load report; values that it does not report are None."""
 
     cpu_utilization: float | None = None
     in_flight: float | None = None
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointList:
-    """An endpoint list, a change of it, or a failed call."""
+    """An endpoint list, a change of the list, or a failed call."""
 
     scope: ListScope
     endpoints: tuple[Endpoint, ...] = ()
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestReceived:
-    """A client's request, to be answered once within `time_left_us`."""
+    """A client's request, which gets exactly one answer within `time_left_us`."""
 
     request: int
     class_index: int
@@ -90,7 +90,7 @@
     ordering_key: int = 0
     tenant: int = 0
     is_client_retry: bool = False
-    estimated_work_us: int | None = None  # estimate of the work of all its threads
+    estimated_work_us: int | None = None  # total time of all threads
     estimated_memory_mb: float | None = None
 
 
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """How an attempt ended. `is_final`: the request is answered, by this attempt or before it."""
+    """The end of an attempt. `is_final` means that this attempt or an earlier event answered the request."""
 
     request: int
     attempt: int
@@ -120,7 +120,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptNotification:
-    """An engine's notification of a running attempt."""
+    """An engine's notification about a running attempt."""
 
     request: int
     attempt: int
@@ -131,7 +131,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckResult:
-    """How a health check ended."""
+    """The result of a health check."""
 
     engine: int
     result: AttemptResult
@@ -141,14 +141,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer that `SetTimer` asked for."""
+    """A timer set by `SetTimer` fired."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client disconnected or was answered otherwise: the request needs no answer any more."""
+    """The client disconnected or got its answer elsewhere; the request needs no answer any more."""
 
     request: int
 
--- a/lilacfront/decisions/load_view.py
+++ b/lilacfront/decisions/load_view.py
@@ -1,4 +1,4 @@
-"""The load of engines as this gateway sees it: its own threads, load reports and gossip."""
+"""Load of each engine, from this gateway's own threads, load reports and gossip."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from lilacfront.decisions.state import NO_REPORT, Engine, RouterState
 from lilacfront.decisions.table_group_demand import DEMAND_HALF_LIFE_US, TableGroupDemand
 
-MAX_COUNTED_LOAD_RATIO = 2.0  # times the mean: one full engine must not raise it for all
-REPORT_LIFETIME_INTERVALS = 3.0  # send intervals over which the trust in a report falls to nothing
+MAX_COUNTED_LOAD_RATIO = 2.0  # cap, in multiples of the mean, on the weight of one overloaded engine
+REPORT_LIFETIME_INTERVALS = 3.0  # send intervals until a report has no weight left
 
 
 class LoadView:
-    """Loads a core, by the latest reports.
+    """Tracks the load per core of each engine.
 
     Attributes:
-        mean_load: Mean load a core of the engines that reported.
-        report_count: How many engines those are.
+        mean_load: Mean load per core of the engines with a load report.
+        report_count: Number of engines with a load report.
     """
 
     def __init__(self, state: RouterState, demand: TableGroupDemand, gossip: LoadGossip) -> None:
@@ -28,7 +28,7 @@
         self._gossip = gossip
 
     def record(self, engine: Engine, load_per_core: float, at_us: int = 0) -> None:
-        """Take a load as the engine's latest; `at_us` 0: it is true now."""
+        """Record the latest load per core of an engine; an `at_us` of 0 means the current time."""
         total = self.mean_load * self.report_count - engine.counted_load
         max_counted = MAX_COUNTED_LOAD_RATIO * self.mean_load if self.report_count else load_per_core
         self.report_count += (load_per_core >= 0) - (engine.reported_load >= 0)
@@ -39,11 +39,11 @@
         self._gossip.record(engine.number, load_per_core, engine.reported_at_us)
 
     def forget(self, engine: Engine) -> None:
-        """Drop what the engine reported."""
+        """Discard the engine's load report."""
         self.record(engine, NO_REPORT)
 
     def record_report(self, engine: Engine, report: LoadReport | None) -> bool:
-        """Take a load report; False where it holds no load."""
+        """Record a load report; return False if it contains no load."""
         if report is None:
             return False
         if report.in_flight is not None:
@@ -56,27 +56,28 @@
         return True
 
     def record_slow_attempt(self, engine: Engine, duration_us: int, likely_us: float) -> None:
-        """Take the load that would explain an attempt that did not finish in its likely time."""
+        """Record the load that explains an attempt that was not done within its likely run time."""
         self.record(engine, max(engine.reported_load, self.mean_load * duration_us / likely_us))
 
     def receive_gossip(self, data: bytes) -> None:
-        """Take the reports in a peer's message that are newer than this gateway's own."""
+        """Record the reports in a peer's message that are newer than the known ones."""
         for number, load, at_us in self._gossip.receive(self._state.now_us, data):
             self.record(self._state.engines[number], load, at_us)
 
     def send_gossip(self) -> list[Action]:
-        """The gossip message due with a request, if any."""
+        """Count a request and return the gossip message to send with it, if any."""
         return self._gossip.count_request(self._state.now_us)
 
     def update_engines(self) -> None:
-        """Limit gossip to the engines that are listed."""
+        """Restrict gossip to the listed engines."""
         self._gossip.set_engines(self._state.engines, self._state.is_pooled)
 
     def load_per_core(self, engine: Engine) -> float:
-        """This gateway's threads a core; where limits are pooled, on top of the engine's last report.
+        """Return the estimated load per core of an engine.
 
-        Of many gateways each has few threads on any engine, which says little of its load. The trust in
-        a report fades towards the mean, so no engine is left out for good.
+        This is the number of this gateway's threads per core. If limits are pooled, the gateway's few threads
+        say little about the load, so the engine's last report is added. With its age the report is replaced
+        by the mean load, so that no engine is excluded for ever.
         """
         own = engine.concurrency.used / engine.cores
         if not self._state.is_pooled:
@@ -85,11 +86,11 @@
         if engine.reported_load >= 0:
             lifetime_us = REPORT_LIFETIME_INTERVALS * self.send_interval_us()
             age = (self._state.now_us - engine.reported_at_us) / lifetime_us
-        trust = max(0.0, 1.0 - age)
-        return own + self.mean_load + trust * (engine.reported_load - self.mean_load)
+        report_weight = max(0.0, 1.0 - age)
+        return own + self.mean_load + report_weight * (engine.reported_load - self.mean_load)
 
     def send_interval_us(self) -> int:
-        """About how often this gateway sends each engine a request; 0 where limits are not pooled."""
+        """Return this gateway's mean time between requests to one engine; 0 if limits are not pooled."""
         if not self._state.is_pooled:
             return 0
         return int(len(self._state.engines) * DEMAND_HALF_LIFE_US / max(1.0, self._demand.total))
--- a/lilacfront/decisions/ordered_keys.py
+++ b/lilacfront/decisions/ordered_keys.py
@@ -1,4 +1,4 @@
-"""Ordered keys: requests of one key run one after the other, in the order of their arrival."""
+"""Ordered keys: requests of one ordering key run one at a time, in the order of their arrival."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 
 
 class OrderedKeys:
-    """The queues of all ordering keys in use, and the gaps after attempts that may still run."""
+    """Queues of requests by ordering key, and the gaps after attempts that may still run."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
         self._queues: dict[int, deque[PendingRequest]] = {}
-        self._gaps: dict[int, tuple[int, PendingRequest]] = {}  # end of the gap, and whose attempt it is
+        self._gaps: dict[int, tuple[int, PendingRequest]] = {}  # by key: end of gap, request
 
     def add(self, request: PendingRequest) -> None:
-        """Queue a request that arrived behind those of its key."""
+        """Append a received request to the queue of its key."""
         if key := request.ordering_key:
             self._queues.setdefault(key, deque()).append(request)
 
     def remove(self, request: PendingRequest) -> None:
-        """Let the next request of the key follow."""
+        """Remove a request from the queue of its key, so that the next one may run."""
         if key := request.ordering_key:
             self._queues[key].remove(request)
             if not self._queues[key]:
                 del self._queues[key]
 
     def is_next(self, request: PendingRequest) -> bool:
-        """Whether the request is the first of its key, and no gap of another one's is left."""
+        """Return whether the request is the first of its key and no gap after another request remains."""
         key = request.ordering_key
         if not key:
             return True
@@ -41,6 +41,6 @@
         return owner is request or self._state.now_us > gap_end_us
 
     def record_end(self, request: PendingRequest, result: AttemptResult) -> None:
-        """Start a gap where an attempt may still run on its engine."""
+        """Start a gap if an ended attempt may still run on its engine."""
         if (key := request.ordering_key) and result in MAY_STILL_RUN:
             self._gaps[key] = (self._state.now_us + self._state.settings.rules.ordering_gap_us, request)
--- a/lilacfront/decisions/outlier_ejection.py
+++ b/lilacfront/decisions/outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: engines that fail more than others are sent nothing for a while, then tried again."""
+"""Outlier ejection: engines that fail more often than others get no requests for a while, then a trial."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from lilacfront.decisions.state import STEP_INTERVAL_US, Attempt, Engine, PendingRequest, RouterState
 from lilacfront.membership.outlier_gossip import OutlierReason
 
-MAX_ERROR_RATE = 0.3  # above that of the other engines
-MIN_ERROR_WEIGHT = 0.2  # of one answer in the error rate: three errors eject an engine
-MAX_ERROR_WEIGHT = 0.5  # one error does
-ERROR_WINDOW_US = 5_000_000  # of which one answer's weight is the part between two answers
+MAX_ERROR_RATE = 0.3  # excess over the mean error rate of the other engines above which an engine is ejected
+MIN_ERROR_WEIGHT = 0.2  # smoothing weight of one response; at this weight three errors eject an engine
+MAX_ERROR_WEIGHT = 0.5  # at this weight one error ejects an engine
+ERROR_WINDOW_US = 5_000_000  # the weight of a response is the interval between responses over this window
 MIN_EJECTION_US = 500_000
 MAX_EJECTION_US = 4_000_000
-MAX_EJECTED_FRACTION = 0.5  # beyond which ejected engines serve, too, as a last resort
+MAX_EJECTED_FRACTION = 0.5  # of all engines; above it, ejected engines are used as a last resort
 MAX_EJECTED_FRACTION_POOLED = 0.75
 
 
 class OutlierEjection:
-    """Error rates of the engines, and the ejections that follow from them."""
+    """Tracks the error rates of the engines and ejects outliers."""
 
     def __init__(self, state: RouterState, loads: LoadView) -> None:
         self._state = state
         self._loads = loads
 
     def record_result(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Take how an attempt ended as a sign of its engine's health."""
+        """Update the health of an attempt's engine from the result of the attempt."""
         match attempt.result:
             case AttemptResult.OK:
                 self._record_success(request, attempt.engine)
@@ -40,12 +40,12 @@
         min_ejection_us: int = MIN_EJECTION_US,
         reason: OutlierReason = OutlierReason.FAILING,
     ) -> None:
-        """Eject an engine; each trial that fails doubles the time.
+        """Eject an engine; each failed trial doubles the ejection time, up to a maximum.
 
         Args:
             engine: The engine.
-            min_ejection_us: How long the first ejection lasts.
-            reason: The reason for other gateways.
+            min_ejection_us: Duration of the first ejection.
+            reason: Reason that is sent to other gateways.
         """
         state = self._state
         if state.now_us >= engine.ejected_until_us:
@@ -56,25 +56,26 @@
         state.outlier_gossip.record_failure(engine.number, reason, state.now_us)
 
     def are_too_many_ejected(self, engine_count: int) -> bool:
-        """Whether ejected engines must serve, too, as a last resort."""
+        """Return whether so many engines are ejected that ejected ones are used as a last resort."""
         fraction = MAX_EJECTED_FRACTION_POOLED if self._state.is_pooled else MAX_EJECTED_FRACTION
         return len(self._state.ejected_engines) > fraction * engine_count
 
     def _record_success(self, request: PendingRequest, engine: Engine) -> None:
         self._state.outlier_gossip.record_success(engine.number, self._state.now_us)
         self._reduce_error_rate(engine, engine.error_rate * self._error_weight())
-        if not request.is_failure_excused:
+        if not request.is_failure_attributed_to_request:
             return
-        # Served here, the request itself was not what failed on the others.
+        # This engine served the request, so the errors on the other engines were not the request's fault.
         failed = [a.engine for a in request.attempts if a.result is AttemptResult.ERROR]
         for other in dict.fromkeys(failed):
             self._raise_error_rate(other, self._error_weight())
 
     def _record_failure(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Count a failure of any kind: quick ones make an engine look idle and would draw ever more to it.
+        """Count a failed attempt in the error rate of its engine.
 
-        A request that fails everywhere is not held against its engines, nor is each of many attempts that
-        end with one connection.
+        Fast failures make an engine look idle, so it would attract more and more requests. A request that
+        fails on every engine does not count against them. Attempts that end with the same broken connection
+        count once.
         """
         engine, result, now_us = attempt.engine, attempt.result, self._state.now_us
         is_reset = result is AttemptResult.RESET
@@ -93,33 +94,33 @@
     def _record_repeated_failure(
         self, request: PendingRequest, engine: Engine, earlier: Engine, is_reset: bool
     ) -> None:
-        """Decide whether a request that failed on two engines or the engines are at fault."""
+        """Attribute the failure of a request that failed on two engines to the request or to the engines."""
         weight = MIN_ERROR_WEIGHT if is_reset else self._error_weight()
         earlier_rate = max(0.0, earlier.error_rate - weight) / (1.0 - weight)
         if max(earlier_rate, engine.error_rate) > MAX_ERROR_RATE:
-            self._raise_error_rate(engine, weight)  # others failed there, too
-        elif not request.is_failure_excused:
+            self._raise_error_rate(engine, weight)  # other requests failed on one of them as well
+        elif not request.is_failure_attributed_to_request:
             self._reduce_error_rate(earlier, earlier.error_rate - earlier_rate)
-            request.is_failure_excused = True
+            request.is_failure_attributed_to_request = True
 
     def _error_weight(self) -> float:
-        """Weight of one answer in its engine's error rate: the fewer answers come, the more each weighs."""
+        """Return the weight of one response in the error rate: rarer responses weigh more."""
         interval_us = self._loads.send_interval_us()
         return max(MIN_ERROR_WEIGHT, min(MAX_ERROR_WEIGHT, interval_us / ERROR_WINDOW_US))
 
     def _min_ejection_us(self) -> int:
-        """Long enough to outlast the engine's next request."""
+        """Return the duration of a first ejection, at least the interval between requests to one engine."""
         return max(MIN_EJECTION_US, self._loads.send_interval_us())
 
     def _raise_error_rate(self, engine: Engine, weight: float) -> None:
-        """Count a failure that is the engine's own; eject it where it fails more than others."""
+        """Raise the engine's error rate; eject the engine if its rate is well above that of the others."""
         engine.error_rate += weight * (1.0 - engine.error_rate)
-        others = [other.error_rate for other in self._state.present_engines if other is not engine]
+        others = [other.error_rate for other in self._state.ready_engines if other is not engine]
         if engine.error_rate > MAX_ERROR_RATE + (sum(others) / len(others) if others else 0.0):
             self.eject(engine, self._min_ejection_us())
 
     def _reduce_error_rate(self, engine: Engine, amount: float) -> None:
-        """Lower the engine's error rate; its ejection ends once that is small."""
+        """Lower the engine's error rate; end its ejection at MAX_ERROR_RATE or below."""
         engine.error_rate = max(0.0, engine.error_rate - amount)
         if engine.error_rate <= MAX_ERROR_RATE:
             engine.ejected_until_us = 0
@@ -128,7 +129,7 @@
 
 
 def _other_failed_engine(request: PendingRequest, attempt: Attempt) -> Engine | None:
-    """The first other engine on which the request failed."""
+    """Return the first other engine on which the request failed; None if there is none."""
     for other in request.attempts:
         if other.result in (AttemptResult.ERROR, AttemptResult.RESET) and other.engine is not attempt.engine:
             return other.engine
--- a/lilacfront/decisions/request_lifecycle.py
+++ b/lilacfront/decisions/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Starts and ends of attempts, and the one final answer of a request."""
+"""Start and end of attempts, and the single final answer of each request."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RequestLifecycle:
-    """Starts and ends attempts and requests, with all that is counted by them."""
+    """Starts and ends attempts and requests, and updates the limits, budgets and queues."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         request.attempts.append(attempt)
         number = request.received.request
         engine.attempts[number, attempt.number] = (request, attempt)
-        self._pooled_limit.settle()
+        self._pooled_limit.accrue_credit()
         state.outlier_gossip.record_trial(engine.number, now_us)
         engine.concurrency.acquire(request.spec.threads)
         self._pooled_limit.concurrency.acquire(request.spec.threads)
@@ -56,9 +56,9 @@
         state.actions.append(Forward(number, engine.number, request.deadline_us))
 
     def release(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Return what an attempt that ended held on its engine."""
+        """Release the threads of an ended attempt."""
         engine = attempt.engine
-        self._pooled_limit.settle()
+        self._pooled_limit.accrue_credit()
         del engine.attempts[request.received.request, attempt.number]
         engine.concurrency.release(request.spec.threads)
         self._pooled_limit.concurrency.release(request.spec.threads)
@@ -66,7 +66,7 @@
             del self._state.active_engines[engine.number]
 
     def answer(self, request: PendingRequest) -> None:
-        """Give the final answer without a result: rejected where that is true, else failed."""
+        """Give the final answer to a request without a result: `Reject` if a retry is safe, else `Fail`."""
         if request.is_answered:
             return
         state, number = self._state, request.received.request
@@ -77,7 +77,7 @@
         self.close(request)
 
     def close(self, request: PendingRequest) -> None:
-        """Mark the request as answered, cancel what runs and forget it."""
+        """Mark the request as answered, cancel its running attempt and remove the request."""
         request.is_answered = True
         attempt = request.running_attempt()
         if attempt is not None and not attempt.is_streaming:
@@ -85,13 +85,13 @@
         self._remove(request)
 
     def cancel(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Cancel a running attempt, where that is permitted."""
+        """Cancel a running attempt if the policy permits it."""
         if self._state.settings.limits.may_cancel and not attempt.is_cancelled:
             attempt.is_cancelled = True
             self._state.actions.append(CancelAttempt(request.received.request, attempt.number))
 
     def _remove(self, request: PendingRequest) -> None:
-        """Forget the request, unless an attempt of it still runs."""
+        """Remove the request unless one of its attempts still runs."""
         if request.running_attempt() is not None:
             return
         if self._state.requests.pop(request.received.request, None) is not None:
@@ -103,7 +103,7 @@
         return min(max_us, int(request.estimate.run_time_us))
 
     def _priority(self, request: PendingRequest) -> int:
-        """The engine's priority, by the rank of the class's value density among the classes."""
+        """Return the priority on the engine, by the rank of the class in value density."""
         density = request.spec.priority_weight / request.estimate.work_us
         denser = sum(e.spec.priority_weight / e.work_us > density for e in self._state.class_estimates)
         return max(MIN_PRIORITY, MAX_PRIORITY - denser)
--- a/lilacfront/decisions/retry_policy.py
+++ b/lilacfront/decisions/retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: what may run again by its idempotency, and the retry budget."""
+"""Retry policy by the idempotency of requests, and the retry budget."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from lilacfront.decisions.settings import DeduplicationScope, Idempotency
 from lilacfront.decisions.state import Attempt, PendingRequest, RouterState
 
-MAX_FAILING_ENGINES = 3  # that answer a request with an error before the error is taken for its own
-CLOCK_MARGIN_TICKS = 2  # of a deduplication window, kept for the way to the engine
+MAX_FAILING_ENGINES = 3  # engines that fail a request before the request counts as the cause
+CLOCK_MARGIN_TICKS = 2  # clock ticks at the end of a deduplication window reserved for network delay
 
 
 class RetryPolicy:
-    """What the idempotency of a request permits."""
+    """Decides which retries the idempotency of a request permits."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
 
     def window_left_us(self, request: PendingRequest, unstarted: Attempt | None = None) -> float:
-        """How long the request may still be repeated: for ever, not at all, or while its window lasts.
+        """Return how long the request may still be repeated: infinity, 0, or the rest of its window.
 
         The deduplication window starts with the first attempt that may have run. `unstarted` is an attempt
-        of which nothing was sent yet.
+        whose first byte has not been sent yet.
         """
         ran = [attempt for attempt in request.attempts_that_may_have_run() if attempt is not unstarted]
         spec = request.spec
@@ -37,7 +37,7 @@
     def may_repeat_on(
         self, request: PendingRequest, endpoint: Endpoint, unstarted: Attempt | None = None
     ) -> bool:
-        """Whether what may have run already may be sent to this engine."""
+        """Return whether the request may be sent to this engine although earlier attempts may have run."""
         if not request.attempts:
             return True
         ran = [attempt for attempt in request.attempts_that_may_have_run() if attempt is not unstarted]
@@ -52,7 +52,7 @@
         return self.window_left_us(request, unstarted) > 0
 
     def may_reject(self, request: PendingRequest) -> bool:
-        """Whether the request may be rejected: a retry by the client is harmless, on any engine."""
+        """Return whether the request may be rejected: the client may safely retry it on any engine."""
         spec = request.spec
         is_harmless_anywhere = (
             spec.idempotency is Idempotency.IDEMPOTENT or spec.deduplication_scope is DeduplicationScope.ALL
@@ -62,39 +62,39 @@
         return self.window_left_us(request) > 0
 
     @staticmethod
-    def is_hopeless(request: PendingRequest) -> bool:
-        """Whether so many engines failed on it that the error is the request's own."""
+    def is_request_at_fault(request: PendingRequest) -> bool:
+        """Return whether so many engines failed the request that it counts as the cause of the errors."""
         failed = {attempt.engine for attempt in request.attempts if attempt.result is AttemptResult.ERROR}
         return len(failed) >= MAX_FAILING_ENGINES
 
 
 class RetryBudget:
-    """Rations retries by the requests and retries within a sliding window."""
+    """Limits retries to a minimum plus a ratio of the requests within a sliding window."""
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
-        self._requests_us: deque[int] = deque()
-        self._retries_us: deque[int] = deque()
+        self._request_times_us: deque[int] = deque()
+        self._retry_times_us: deque[int] = deque()
 
     def record_request(self) -> None:
-        """Count a request that arrived."""
+        """Count a received request."""
         if self._state.settings.rules.retry_budget_window_us is not None:
-            self._requests_us.append(self._state.now_us)
+            self._request_times_us.append(self._state.now_us)
 
     def record_retry(self) -> None:
-        """Count an attempt after a request's first."""
+        """Count an attempt other than the first of its request."""
         if self._state.settings.rules.retry_budget_window_us is not None:
-            self._retries_us.append(self._state.now_us)
+            self._retry_times_us.append(self._state.now_us)
 
     def allows_retry(self, fraction: float = 1.0) -> bool:
-        """Whether one more retry fits in this fraction of the budget."""
+        """Return whether one more retry fits within this fraction of the budget."""
         rules, now_us = self._state.settings.rules, self._state.now_us
         window_us = rules.retry_budget_window_us
         if window_us is None:
             return True
-        while self._retries_us and self._retries_us[0] < now_us - window_us:
-            self._retries_us.popleft()
-        while self._requests_us and self._requests_us[0] <= now_us - window_us:
-            self._requests_us.popleft()
-        budget = rules.retry_budget_min + rules.retry_budget_ratio * len(self._requests_us)
-        return len(self._retries_us) + 1 <= fraction * budget
+        while self._retry_times_us and self._retry_times_us[0] < now_us - window_us:
+            self._retry_times_us.popleft()
+        while self._request_times_us and self._request_times_us[0] <= now_us - window_us:
+            self._request_times_us.popleft()
+        budget = rules.retry_budget_min + rules.retry_budget_ratio * len(self._request_times_us)
+        return len(self._retry_times_us) + 1 <= fraction * budget
--- a/lilacfront/decisions/router.py
+++ b/lilacfront/decisions/router.py
@@ -1,10 +1,12 @@
-"""The router: hands each event to the decisions that it concerns.
+"""The router dispatches each event to the modules that handle it.
 
-The decisions have modules of their own: `endpoint_table` and `slow_start` (which engines there are),
-`admission`, `engine_selection`, `engine_capacity` and `send_rules` (what is sent where), `concurrency_limit`
-and `pooled_limit` (how much), `retry_policy`, `ordered_keys` and `tenant_quota` (what else is permitted),
-`load_view`, `outlier_ejection`, `attempt_monitor` and `attempt_evaluation` (what is learnt), and
-`request_lifecycle` (attempts and answers).
+- Known engines: `endpoint_table`, `slow_start`.
+- Choice of an engine for a request: `admission`, `engine_selection`, `engine_capacity`, `send_rules`.
+- Concurrency limits: `concurrency_limit`, `pooled_limit`.
+- Retries, ordering and quotas: `retry_policy`, `ordered_keys`, `tenant_quota`.
+- Observed load, latency and errors: `load_view`, `outlier_ejection`, `attempt_monitor`,
+  `attempt_evaluation`.
+- Attempts and final answers: `request_lifecycle`.
 """
 
 from __future__ import annotations
@@ -44,20 +46,20 @@
 
 STEP_TIMER = 0
 POLL_TIMER = 1
-FIRST_DEADLINE_TIMER = 2  # the request's number is added
-MAX_DISPATCH_MISSES = 8  # after the end of an attempt; bounds the time that it takes
-RESIZE_INTERVAL_US = 500_000  # while engines warm up
+FIRST_DEADLINE_TIMER = 2  # the deadline timer of request n has the token FIRST_DEADLINE_TIMER + n
+MAX_DISPATCH_MISSES = 8  # requests without an engine per dispatch; bounds the time spent on an ended attempt
+RESIZE_INTERVAL_US = 500_000  # between two updates of the pooled limit while engines warm up
 
 
 class RequestRouter:
-    """One gateway's decisions. The caller brings the clock, reports events and carries out the actions."""
+    """Decisions of one gateway. The caller supplies the clock, reports events and carries out the actions."""
 
     def __init__(self, settings: PolicySettings, seed: int) -> None:
-        """Start without any engine.
+        """Create a router that knows no engines.
 
         Args:
             settings: The policy settings.
-            seed: Of the random draws (peers for gossip).
+            seed: Seed of the random generator that picks the peers for gossip.
         """
         self.settings = settings
         self.state = RouterState.initial(settings)
@@ -73,8 +75,8 @@
         self._retries = RetryPolicy(self.state)
         self._budget = RetryBudget(self.state)
         self._build_request_path()
-        self.step_due_us = 0
-        self._is_step_set = False
+        self.next_step_at_us = 0
+        self._is_step_scheduled = False
 
     def _build_request_path(self) -> None:
         state = self.state
@@ -94,11 +96,11 @@
         )
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """Decide on one event.
+        """Process one event.
 
         Args:
-            now_us: The caller's clock in microseconds.
-            event: What happened.
+            now_us: Time on the caller's clock in microseconds.
+            event: The event.
 
         Returns:
             The actions to carry out, in order.
@@ -128,7 +130,7 @@
         return state.actions
 
     def may_begin(self, now_us: int, request: int) -> bool:
-        """Whether the first byte of the request's running attempt may leave now."""
+        """Return whether the first byte of the request's running attempt may be sent now."""
         self.state.now_us = max(self.state.now_us, now_us)
         return self._send_rules.may_begin(request)
 
@@ -145,7 +147,7 @@
         state.actions.append(SetTimer(request.deadline_us, FIRST_DEADLINE_TIMER + event.request))
         work_us = event.estimated_work_us
         if work_us is not None and work_us / request.spec.threads > event.time_left_us:
-            self._lifecycle.answer(request)  # it could not end in time on an idle engine
+            self._lifecycle.answer(request)  # even an idle engine would miss the deadline
             return
         self._admission.prepare(request)
         self._admission.admit(request)
@@ -181,14 +183,16 @@
         self._admission.dispatch(MAX_DISPATCH_MISSES)
 
     def _retry(self, request: PendingRequest) -> None:
-        """After a failed attempt: try or wait for another engine while that can pay, else answer."""
+        """Retry a request after a failed attempt, queue it for an engine, or give the final answer."""
         may_forward = self._send_rules.may_forward
-        is_hopeless = self._retries.is_hopeless(request)
-        if is_hopeless or not any(may_forward(request, engine) for engine in self.state.present_engines):
+        is_request_at_fault = self._retries.is_request_at_fault(request)
+        if is_request_at_fault or not any(
+            may_forward(request, engine) for engine in self.state.ready_engines
+        ):
             self._lifecycle.answer(request)
             return
-        pays_until_us = request.objective_at_us if request.spec.late_weight == 0 else request.deadline_us
-        self._admission.set_wait(request, pays_until_us)
+        useful_until_us = request.objective_at_us if request.spec.late_weight == 0 else request.deadline_us
+        self._admission.set_wait(request, useful_until_us)
         self._admission.admit(request)
         self._schedule_step()
 
@@ -233,22 +237,22 @@
             self._lifecycle.answer(request)
 
     def _step(self) -> None:
-        """The regular check of warming engines, silent engines and waiting requests."""
+        """Check warming engines, silent engines and waiting requests; runs every STEP_INTERVAL_US."""
         state = self.state
-        self._is_step_set = False
+        self._is_step_scheduled = False
         if state.warming_engines and state.now_us - self.pooled_limit.resized_at_us >= RESIZE_INTERVAL_US:
             self.pooled_limit.resize()
             self.endpoints.refresh_warming()
-        if state.now_us - self.step_due_us < 2 * STEP_INTERVAL_US:
+        if state.now_us - self.next_step_at_us < 2 * STEP_INTERVAL_US:
             self.monitor.check_active_engines()
         else:
-            self.monitor.forgive_silence()
+            self.monitor.reset_silence_timers()
         self._admission.dispatch()
         if state.requests:
             self._schedule_step()
 
     def _schedule_step(self) -> None:
-        if not self._is_step_set:
-            self._is_step_set = True
-            self.step_due_us = self.state.now_us + STEP_INTERVAL_US
-            self.state.actions.append(SetTimer(self.step_due_us, STEP_TIMER))
+        if not self._is_step_scheduled:
+            self._is_step_scheduled = True
+            self.next_step_at_us = self.state.now_us + STEP_INTERVAL_US
+            self.state.actions.append(SetTimer(self.next_step_at_us, STEP_TIMER))
--- a/lilacfront/decisions/send_rules.py
+++ b/lilacfront/decisions/send_rules.py
@@ -1,4 +1,4 @@
-"""The rules on forwarding, checked for every attempt, and again before its first byte."""
+"""Rules for forwarding an attempt, checked when it is decided and again before its first byte is sent."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SendRules:
-    """The check that every forwarded attempt passes."""
+    """Checks that apply to every attempt."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self._slow_start = slow_start
 
     def may_forward(self, request: PendingRequest, engine: Engine) -> bool:
-        """Whether the request's next attempt may go to this engine now."""
+        """Return whether the request's next attempt may be forwarded to this engine now."""
         state = self._state
         if request.is_answered or request.running_attempt() is not None:
             return False
@@ -47,9 +47,9 @@
         return self._slow_start.has_budget(engine, request.estimate)
 
     def may_begin(self, request_number: int) -> bool:
-        """Whether the first byte of the request's running attempt may leave now.
+        """Return whether the first byte of the request's running attempt may be sent now.
 
-        Where a connection came up late, what was allowed when the attempt was decided may not be any more.
+        If the connection took long to open, an attempt that was allowed may not be allowed any more.
         """
         state = self._state
         request = state.requests.get(request_number)
@@ -63,13 +63,13 @@
         if not self._retries.may_repeat_on(request, engine.endpoint, unstarted=attempt):
             return False
         if self._slow_start.is_warming(engine.endpoint) and state.now_us > attempt.sent_us:
-            # Held back over the end of its window, it would add to the attempts of the next.
+            # An attempt delayed into the next window would add to the attempts decided in that window.
             return self._slow_start.recharge(engine, request.estimate, attempt)
         return True
 
 
 def _is_allowed_on(request: PendingRequest, engine: Engine) -> bool:
-    """Whether the class may run in the engine's zone and on its machine type."""
+    """Return whether the request's class may run in the engine's zone and on its machine type."""
     spec, endpoint = request.spec, engine.endpoint
     if spec.allowed_zones is not None and endpoint.zone not in spec.allowed_zones:
         return False
--- a/lilacfront/decisions/settings.py
+++ b/lilacfront/decisions/settings.py
@@ -1,6 +1,6 @@
-"""The policy settings of a router. Times are integer microseconds.
+"""Policy settings of a router. Times are integer microseconds.
 
-A setting that is absent is None (or False): the feature is off.
+A feature is off if its setting is None or False.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 
 class Idempotency(Enum):
-    """What running a request twice would do."""
+    """Whether a request may run more than once."""
 
     IDEMPOTENT = "safe"  # may run any number of times
-    IDEMPOTENT_BY_KEY = "keyed"  # engines of one group drop repeats for a while
+    IDEMPOTENT_BY_KEY = "keyed"  # engines of one scope ignore repeats within a time window
     NOT_IDEMPOTENT = "unsafe"  # must never run twice
 
 
 class DeduplicationScope(Enum):
-    """Which engines drop the repeats of one another's keyed requests."""
+    """The group of engines that recognise repeats of keyed requests sent to any of them."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +26,7 @@
 
 
 class MemoryShortage(Enum):
-    """What an engine does when its memory grants exceed its memory."""
+    """Behaviour of an engine whose memory grants exceed its memory."""
 
     WAIT = "wait"
     SHRINK = "shrink"
@@ -50,30 +50,30 @@
     allowed_zones: tuple[int, ...] | None = None
     allowed_machine_types: tuple[int, ...] | None = None
     is_streamed: bool = False
-    is_load: bool = False  # a load: holds its table group on its engine while it runs
+    is_load: bool = False  # a data load, which locks its table group on its engine while it runs
     waits_for_loads: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class SafetyRules:
-    """The figures of the rules that every gateway keeps."""
+    """Parameters of the safety rules that every gateway follows."""
 
     answer_slack_us: int = 0
     drain_deadline_us: int = 0
-    overload_factor: float | None = None  # None: engines don't fall over when cold
+    overload_factor: float | None = None  # None: cold engines don't fail under load
     cold_capacity_fraction: float = 1.0
     overload_window_us: int = 0
     warm_up_us: int = 0
     poll_deadline_us: int | None = None
     ordering_gap_us: int = 0
-    retry_budget_window_us: int | None = None  # None: retries are not rationed
+    retry_budget_window_us: int | None = None  # None: retries are unlimited
     retry_budget_min: float = 0.0
     retry_budget_ratio: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class PolicyLimits:
-    """What the operator permits."""
+    """Features and limits that the operator permits."""
 
     max_attempts: int
     may_cancel: bool = False
@@ -87,7 +87,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TenantQuota:
-    """One tenant: its requests a second, over all gateways."""
+    """Quota of one tenant, in requests per second over all gateways."""
 
     requests_per_s: float
 
@@ -116,5 +116,5 @@
     cross_zone_price: float = 0.0
     late_failure_price: float = 0.0
     wasted_work_price: float = 0.0
-    gossip_price: float = 0.0  # of a full message for each request
+    gossip_price: float = 0.0  # price of a full message per request
     clock_tick_us: int = 0
--- a/lilacfront/decisions/settings_file.py
+++ b/lilacfront/decisions/settings_file.py
@@ -1,7 +1,7 @@
-"""Reads the policy settings from their JSON form.
+"""Reads the policy settings from JSON.
 
-This module alone knows the words of that form; `parse_settings` maps each to the code's term. Keys that are
-absent or null stand for a feature that is off, and unknown keys are ignored.
+The JSON keys and values are used in this module only; `parse_settings` maps them to the names of
+`decisions.settings`. A feature is off if its key is absent or null. Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 from lilacfront.errors import SettingsError
 
 MIN_CORES = 0.001
-IDEMPOTENCY_WORDS = {
+IDEMPOTENCY_VALUES = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.IDEMPOTENT_BY_KEY,
     "single_shot": Idempotency.NOT_IDEMPOTENT,
 }
-SCOPE_WORDS = {
+SCOPE_VALUES = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-SHORTAGE_WORDS = {
+SHORTAGE_VALUES = {
     "wait": MemoryShortage.WAIT,
     "shrink": MemoryShortage.SHRINK,
     "page": MemoryShortage.PAGE,
@@ -44,7 +44,7 @@
 
 
 class PolicySettingsError(SettingsError):
-    """Policy settings that lack what is needed or contradict themselves."""
+    """Policy settings that are incomplete, invalid or contradictory."""
 
     def __str__(self) -> str:
         return f"{self.key} {self.problem}" if self.key else self.problem
@@ -55,7 +55,7 @@
 
     Attributes:
         policy: The policy settings.
-        report_fields: The names of the values in a load report, in order.
+        report_fields: Names of the values in a load report, in order.
     """
 
     policy: PolicySettings
@@ -63,10 +63,10 @@
 
 
 def parse_settings(text: bytes | str) -> ParsedSettings:
-    """Parse the settings JSON.
+    """Parse the JSON settings.
 
     Raises:
-        PolicySettingsError: The text is not JSON, or a setting can't be used.
+        PolicySettingsError: The text is not valid JSON, or a setting is invalid.
     """
     try:
         values = json.loads(text)
@@ -74,37 +74,39 @@
         raise PolicySettingsError("", f"settings are not JSON: {error}") from error
     if not isinstance(values, dict):
         raise PolicySettingsError("", "settings are not a JSON object")
-    top = _Table(values)
-    policy = _policy(top)
-    top.items("zones")
-    return ParsedSettings(policy, tuple(top.table("stats").items("fields")))
+    root = _Table(values)
+    policy = _policy(root)
+    root.items("zones")  # raises an error if the value is not a list
+    return ParsedSettings(policy, tuple(root.table("stats").items("fields")))
 
 
 class _Table:
-    """One JSON object, and the path under which its keys are named in errors."""
+    """A JSON object, with the path that precedes its keys in error messages."""
 
     def __init__(self, values: Mapping[str, Any], path: str = "") -> None:
         self.path = path
         self._values = values
 
     @classmethod
-    def of(cls, value: object, name: str) -> _Table:
-        """The table in an entry of a list."""
+    def from_value(cls, value: object, name: str) -> _Table:
+        """Return a table of a JSON value that must be an object; `name` is its path."""
         if not isinstance(value, dict):
             raise PolicySettingsError(name, f"is {value!r}, not an object")
         return cls(value, f"{name}.")
 
     def get(self, key: str) -> Any:
-        """The raw value; None where the key is absent or null."""
+        """Return the raw value of the key; None if the key is absent or null."""
         return self._values.get(key)
 
     def table(self, key: str) -> _Table:
-        """The object under the key; an empty one where it is absent."""
+        """Return the object under the key; an empty one if the key is absent."""
         value = self.get(key)
-        return _Table({}, f"{self.path}{key}.") if value is None else _Table.of(value, self.path + key)
+        return (
+            _Table({}, f"{self.path}{key}.") if value is None else _Table.from_value(value, self.path + key)
+        )
 
     def items(self, key: str) -> list[Any]:
-        """The list under the key; an empty one where it is absent."""
+        """Return the list under the key; an empty one if the key is absent."""
         value = self.get(key)
         if value is None:
             return []
@@ -113,50 +115,50 @@
         return value
 
     def numbers(self, key: str, minimum: float = 0.0) -> tuple[float, ...]:
-        """The list of numbers under the key."""
+        """Return the list of numbers under the key."""
         name = self.path + key
         return tuple(
             _number(value, f"{name}[{index}]", minimum) for index, value in enumerate(self.items(key))
         )
 
     def number(self, key: str, default: float = 0.0, minimum: float = 0.0) -> float:
-        """The number under the key."""
+        """Return the number under the key."""
         value = self.get(key)
         return default if value is None else _number(value, self.path + key, minimum)
 
     def required_number(self, key: str, minimum: float = 0.0) -> float:
-        """The number under a key that must be there."""
+        """Return the number under a required key."""
         if self.get(key) is None:
             raise PolicySettingsError(self.path + key, "is missing")
         return self.number(key, minimum=minimum)
 
     def integer(self, key: str, default: int = 0, minimum: int = 0) -> int:
-        """The number under the key without its fraction."""
+        """Return the number under the key, truncated to an integer."""
         return int(self.number(key, default, minimum))
 
     def required_integer(self, key: str, minimum: int = 0) -> int:
-        """The number, without its fraction, under a key that must be there."""
+        """Return the number under a required key, truncated to an integer."""
         return int(self.required_number(key, minimum))
 
     def optional_integer(self, key: str, minimum: int = 0) -> int | None:
-        """The number under the key without its fraction; None where it is absent."""
+        """Return the number under the key, truncated to an integer; None if the key is absent."""
         return None if self.get(key) is None else self.integer(key, minimum=minimum)
 
     def flag(self, key: str) -> bool:
-        """Whether the key is set."""
+        """Return the boolean under the key; False if the key is absent."""
         value = self.get(key)
         if value is not None and value not in (False, True):
             raise PolicySettingsError(self.path + key, f"is {value!r}, neither true nor false")
         return bool(value)
 
-    def choice(self, key: str, words: Mapping[str, Choice], default: Choice) -> Choice:
-        """The term for the word under the key."""
-        word = self.get(key)
-        if word is None:
+    def choice(self, key: str, choices: Mapping[str, Choice], default: Choice) -> Choice:
+        """Return the member of `choices` for the text under the key."""
+        value = self.get(key)
+        if value is None:
             return default
-        if not isinstance(word, str) or word not in words:
-            raise PolicySettingsError(self.path + key, f"is {word!r}, none of {', '.join(words)}")
-        return words[word]
+        if not isinstance(value, str) or value not in choices:
+            raise PolicySettingsError(self.path + key, f"is {value!r}, none of {', '.join(choices)}")
+        return choices[value]
 
 
 def _number(value: object, name: str, minimum: float = 0.0) -> float:
@@ -167,27 +169,27 @@
     return float(value)
 
 
-def _policy(top: _Table) -> PolicySettings:
-    extra, limits, prices = top.table("extra"), top.table("policy-limits"), top.table("penalties")
-    classes = top.items("classes")
+def _policy(root: _Table) -> PolicySettings:
+    extra, limits, prices = root.table("extra"), root.table("policy-limits"), root.table("penalties")
+    classes = root.items("classes")
     if not classes:
         raise PolicySettingsError("classes", "is empty or missing")
-    machine_type_cores = _machine_type_cores(top, extra)
+    machine_type_cores = _machine_type_cores(root, extra)
     return PolicySettings(
-        classes=tuple(_request_class(value, index, extra, top) for index, value in enumerate(classes)),
+        classes=tuple(_request_class(value, index, extra, root) for index, value in enumerate(classes)),
         machine_type_cores=machine_type_cores,
         limits=_policy_limits(limits),
-        rules=_safety_rules(top.table("safety")),
+        rules=_safety_rules(root.table("safety")),
         machine_type_memory_mb=extra.numbers("kind-memory-mb"),
-        tenants=tuple(_tenant(value, index) for index, value in enumerate(top.items("orgs"))),
-        over_quota_weight=top.number("over-share-worth", 1.0),
-        gateway_count=top.integer("instances", 1, minimum=1),
-        gateway_index=top.integer("slot-no"),
-        zone=top.integer("zone"),
-        polls_discovery=top.get("discovery") == "ask",
+        tenants=tuple(_tenant(value, index) for index, value in enumerate(root.items("orgs"))),
+        over_quota_weight=root.number("over-share-worth", 1.0),
+        gateway_count=root.integer("instances", 1, minimum=1),
+        gateway_index=root.integer("slot-no"),
+        zone=root.integer("zone"),
+        polls_discovery=root.get("discovery") == "ask",
         grants_memory=extra.flag("grants"),
         max_memory_grant=extra.number("most-grant", 1.0),
-        memory_shortage=extra.choice("out-of-memory", SHORTAGE_WORDS, MemoryShortage.WAIT),
+        memory_shortage=extra.choice("out-of-memory", SHORTAGE_VALUES, MemoryShortage.WAIT),
         sets_priorities=extra.flag("takes-priority"),
         notification_interval_us=extra.integer("progress"),
         reports_cost=extra.flag("says-cost"),
@@ -195,15 +197,15 @@
         late_failure_price=prices.number("late-fail"),
         wasted_work_price=prices.number("waste"),
         gossip_price=prices.number("peer"),
-        clock_tick_us=top.integer("tick"),
+        clock_tick_us=root.integer("tick"),
     )
 
 
-def _machine_type_cores(top: _Table, extra: _Table) -> tuple[float, ...]:
-    machine_types = len(top.items("kinds")) or 1
+def _machine_type_cores(root: _Table, extra: _Table) -> tuple[float, ...]:
+    machine_types = len(root.items("kinds")) or 1
     cores = extra.numbers("cpu-of-kind", MIN_CORES)
     if cores and len(cores) < machine_types:
-        raise PolicySettingsError("extra.cpu-of-kind", "is shorter than kinds")
+        raise PolicySettingsError("extra.cpu-of-kind", "has fewer entries than kinds")
     return cores or (1.0,) * machine_types
 
 
@@ -220,9 +222,9 @@
     )
 
 
-def _request_class(value: object, index: int, extra: _Table, top: _Table) -> RequestClass:
-    table = _Table.of(value, f"classes[{index}]")
-    # An objective may exceed the deadline, and one of zero must not become a divisor.
+def _request_class(value: object, index: int, extra: _Table, root: _Table) -> RequestClass:
+    table = _Table.from_value(value, f"classes[{index}]")
+    # At least 1 us, since the objective is a divisor. It may exceed the deadline.
     latency_objective_us = max(1, table.required_integer("aim"))
     deadline_us = table.required_integer("deadline", minimum=1)
     threads = _class_value(extra, "threads-by-class", index)
@@ -231,14 +233,14 @@
         deadline_us=deadline_us,
         priority_weight=table.number("worth", 1.0),
         threads=1 if threads is None else int(_number(threads, f"extra.threads-by-class[{index}]", 1)),
-        idempotency=table.choice("effect", IDEMPOTENCY_WORDS, Idempotency.IDEMPOTENT),
+        idempotency=table.choice("effect", IDEMPOTENCY_VALUES, Idempotency.IDEMPOTENT),
         latency_objective_stretch=table.number("aim-stretch"),
         late_weight=table.number("late-worth"),
-        deduplication_scope=table.choice("group", SCOPE_WORDS, DeduplicationScope.ALL),
+        deduplication_scope=table.choice("group", SCOPE_VALUES, DeduplicationScope.ALL),
         deduplication_window_us=table.integer("repeat-window"),
         is_ordered=table.flag("in-order"),
-        allowed_zones=_indices(table, "stays-in", top.items("zones")),
-        allowed_machine_types=_indices(table, "kinds-only", top.items("kinds")),
+        allowed_zones=_indices(table, "stays-in", root.items("zones")),
+        allowed_machine_types=_indices(table, "kinds-only", root.items("kinds")),
         is_streamed=table.flag("stream"),
         is_load=bool(_class_value(extra, "class-load", index)),
         waits_for_loads=bool(_class_value(extra, "blocked-by-loads", index)),
@@ -246,13 +248,13 @@
 
 
 def _class_value(extra: _Table, key: str, index: int) -> Any:
-    """The class's entry in a list of values by class; None where the list is too short."""
+    """Return the entry of a class in a list of values by class; None if the list is too short."""
     values = extra.items(key)
     return values[index] if index < len(values) else None
 
 
 def _indices(table: _Table, key: str, names: list[Any]) -> tuple[int, ...] | None:
-    """Zones or machine types, given by number or by name."""
+    """Return the indices of zones or machine types that are given by number or by name."""
     if table.get(key) is None:
         return None
     found = []
@@ -262,7 +264,7 @@
         elif isinstance(value, int) and not isinstance(value, bool):
             found.append(value)
         else:
-            raise PolicySettingsError(f"{table.path}{key}", f"has {value!r}, which the settings don't name")
+            raise PolicySettingsError(f"{table.path}{key}", f"has the unknown entry {value!r}")
     return tuple(found)
 
 
@@ -270,7 +272,7 @@
     window_us = table.optional_integer("budget-span")
     for key in ("free-resends", "extra-ratio"):
         if table.get(key) is not None and window_us is None:
-            raise PolicySettingsError(f"safety.{key}", "is there but safety.budget-span is missing")
+            raise PolicySettingsError(f"safety.{key}", "is set but safety.budget-span is missing")
     has_overload = table.get("overload-factor") is not None
     integer = table.required_integer if has_overload else table.integer
     overload_window_us = integer("fall")
@@ -293,4 +295,4 @@
 
 
 def _tenant(value: object, index: int) -> TenantQuota:
-    return TenantQuota(_Table.of(value, f"orgs[{index}]").required_number("allowance-per-s"))
+    return TenantQuota(_Table.from_value(value, f"orgs[{index}]").required_number("allowance-per-s"))
--- a/lilacfront/decisions/state.py
+++ b/lilacfront/decisions/state.py
@@ -18,7 +18,7 @@
 
 NEVER_RAN = (AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NEVER_SENT)
 NO_REPORT = -1.0
-STEP_INTERVAL_US = 50_000  # how often waiting requests and silent engines are checked
+STEP_INTERVAL_US = 50_000  # interval of the checks of waiting requests and silent engines
 
 
 @dataclass(slots=True, eq=False)
@@ -26,16 +26,16 @@
     """One attempt of a request on one engine.
 
     Attributes:
-        number: Its place among the request's attempts, from 0.
-        engine: Where it runs.
-        sent_us: When it was forwarded.
-        zone: The engine's zone as listed when it was forwarded.
-        cell: The engine's cell as listed when it was forwarded.
-        progress_at_us: When its progress was last reported.
-        progress: The fraction done, as last reported.
-        result: How it ended; None while it runs.
-        is_cancelled: Whether its cancellation was asked for.
-        is_streaming: Whether its response has started to reach the client.
+        number: Index of the attempt in the request's attempts, from 0.
+        engine: Engine that the attempt was forwarded to.
+        sent_us: Time at which the attempt was forwarded.
+        zone: Zone of the engine in the endpoint list at that time.
+        cell: Cell of the engine in the endpoint list at that time.
+        progress_at_us: Time of the last progress report.
+        progress: Fraction done according to the last progress report.
+        result: Result of the attempt; None while it runs.
+        is_cancelled: Whether the cancellation of the attempt was requested.
+        is_streaming: Whether the response has started to reach the client.
     """
 
     number: int
@@ -52,20 +52,20 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request from its arrival until it is answered and no attempt of it runs.
+    """A request that is not answered yet, or that still has a running attempt.
 
     Attributes:
-        received: The request as it came in.
-        spec: Its class as configured.
-        estimate: What is known of its class.
-        deadline_us: When its answer is due.
-        objective_at_us: When its latency objective ends.
-        wait_until_us: Until when it may wait for an engine.
-        attempts: All its attempts in order.
-        value_density: Its priority weight for each microsecond of work.
-        is_answered: Whether its final answer was given, or is owed no more.
-        was_rescheduled: Whether an attempt was cancelled for being overdue.
-        is_failure_excused: Whether its first failure was taken for the request's own.
+        received: The event with which the request arrived.
+        spec: Settings of the request's class.
+        estimate: Estimates for the request's class.
+        deadline_us: Time by which the request must be answered.
+        objective_at_us: Time at which the latency objective is missed.
+        wait_until_us: Time until which the request may wait for an engine.
+        attempts: All attempts of the request in order.
+        value_density: Priority weight per microsecond of work.
+        is_answered: Whether the final answer was given or is no longer needed.
+        was_rescheduled: Whether an overdue attempt was cancelled for a retry.
+        is_failure_attributed_to_request: Whether the request, not an engine, was found to cause its failures.
     """
 
     received: RequestReceived
@@ -78,39 +78,43 @@
     value_density: float = 0.0
     is_answered: bool = False
     was_rescheduled: bool = False
-    is_failure_excused: bool = False
+    is_failure_attributed_to_request: bool = False
 
     @property
     def ordering_key(self) -> int:
-        """The key that its class keeps in order; 0: none."""
+        """The key whose requests run in order; 0 if the request's class is not ordered."""
         return self.received.ordering_key if self.spec.is_ordered else 0
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether it may run any number of times."""
+        """Whether the request may run any number of times."""
         return self.spec.idempotency is Idempotency.IDEMPOTENT
 
     def running_attempt(self) -> Attempt | None:
-        """The attempt that has not ended."""
+        """Return the attempt that has not ended; None if there is none."""
         for attempt in reversed(self.attempts):
             if attempt.result is None:
                 return attempt
         return None
 
     def attempts_that_may_have_run(self) -> list[Attempt]:
-        """The attempts that an engine may have executed, in part or whole."""
+        """Return the attempts that an engine may have executed in part or completely."""
         return [attempt for attempt in self.attempts if attempt.result not in NEVER_RAN]
 
     def latency_objective_us(self, work_us: int | None) -> float:
-        """The class's objective and its stretch over the work; None: over a usual uncrowded run."""
+        """Return the latency objective of the request.
+
+        It is the base of the class plus its stretch factor times the run time on an idle engine. That run
+        time follows from `work_us`, or from the class estimate if `work_us` is None.
+        """
         if work_us is not None:
-            uncrowded = work_us / self.spec.threads
+            uncontended_us = work_us / self.spec.threads
         else:
-            uncrowded = self.estimate.uncrowded_run_time_us
-        return self.spec.latency_objective_us + self.spec.latency_objective_stretch * uncrowded
+            uncontended_us = self.estimate.uncontended_run_time_us
+        return self.spec.latency_objective_us + self.spec.latency_objective_stretch * uncontended_us
 
     def likely_run_time_us(self) -> float:
-        """The class's likely run time, scaled by the request's own estimate of its work where it has one."""
+        """Return the run time of the class, scaled by the request's own work estimate if it has one."""
         estimate, work_us = self.estimate, self.received.estimated_work_us
         if work_us is None or estimate.work_us <= 0:
             return estimate.run_time_us
@@ -121,8 +125,8 @@
 
 
 @dataclass(slots=True, frozen=True, eq=False)
-class ColdSend:
-    """An attempt charged to a warming engine's budget."""
+class WarmUpCharge:
+    """An attempt that was charged to a warming engine's budget."""
 
     sent_us: int
     work_us: float
@@ -134,23 +138,23 @@
     """One engine as this gateway sees it.
 
     Attributes:
-        number: The caller's number of the engine.
-        endpoint: Its entry in the endpoint list.
-        cores: Its cores, by its machine type.
-        concurrency: The limit on this gateway's threads there.
-        is_leaving: Draining or removed: it gets no requests.
-        is_removed: It is in the endpoint list no more.
-        reported_load: Load a core in its last report; below 0: none.
-        counted_load: The part of it that is counted in the mean.
-        reported_at_us: When the report was true.
-        attempts: What runs there, by request and attempt number.
+        number: Number of the engine, assigned by the caller.
+        endpoint: The engine's entry in the endpoint list.
+        cores: Number of cores of the engine's machine type.
+        concurrency: Limit on this gateway's threads on the engine.
+        is_leaving: Whether the engine is draining or removed and gets no requests.
+        is_removed: Whether the engine is no longer in the endpoint list.
+        reported_load: Load per core in the last load report; negative if there is none.
+        counted_load: Part of `reported_load` that counts in the mean load of all engines.
+        reported_at_us: Time at which `reported_load` applied.
+        attempts: Running attempts with their requests, by request number and attempt number.
         error_rate: Smoothed fraction of errors.
-        last_response_us: When it last responded.
-        ejected_until_us: When its ejection ends; 0: it is not ejected.
-        ejection_us: How long its last ejection was.
-        last_reset_us: When a connection to it broke last.
-        cold_sends: What its warm-up budget was charged with.
-        blocked_until_us: By table group: until when a load of another client is taken to hold it.
+        last_response_us: Time of the engine's last response.
+        ejected_until_us: Time at which the ejection ends; 0 if the engine is not ejected.
+        ejection_us: Duration of the last ejection.
+        last_reset_us: Time at which a connection to the engine last broke.
+        warm_up_charges: Attempts charged to the engine's warm-up budget.
+        blocked_until_us: By table group: time until which another client's data load is assumed to lock it.
     """
 
     number: int
@@ -168,43 +172,43 @@
     ejected_until_us: int = 0
     ejection_us: int = 0
     last_reset_us: int = -STEP_INTERVAL_US
-    cold_sends: deque[ColdSend] = field(default_factory=deque)
+    warm_up_charges: deque[WarmUpCharge] = field(default_factory=deque)
     blocked_until_us: dict[int, int] = field(default_factory=dict)
 
     def restart(self, limit: float) -> None:
-        """Forget what was learnt of the process before this one."""
+        """Reset the state that was learned from the previous process of a restarted engine."""
         self.concurrency.reset(limit)
         self.error_rate = 0.0
         self.last_response_us = 0
         self.ejected_until_us = 0
         self.ejection_us = 0
         self.last_reset_us = -STEP_INTERVAL_US
-        self.cold_sends = deque()
+        self.warm_up_charges = deque()
         self.blocked_until_us = {}
 
 
 @dataclass(slots=True)
 class RouterState:
-    """What every decision reads: settings, the clock, engines and requests.
+    """State shared by all decisions: settings, the clock, engines and requests.
 
     Attributes:
         settings: The policy settings.
-        fleet_size: The number of gateways that shares are divided by.
-        outlier_gossip: What this gateway and others find of engines.
-        class_estimates: What is known of each class, in the settings' order.
-        max_class_threads: Threads of the widest class.
-        min_class_threads: Threads of the narrowest class.
-        now_us: The clock.
-        started_at_us: The clock at the first event; below 0 before it.
-        engines: All engines listed, and those removed that still run something.
-        active_engines: Those on which an attempt of this gateway runs.
-        present_engines: Those that may be sent requests.
-        warming_engines: Those of them that are warming up.
-        ejected_engines: The numbers of those that are ejected.
-        effective_cores: The cores present, those of warming engines in part.
-        is_pooled: Whether one limit over all engines admits requests: many gateways, few threads for each.
+        fleet_size: The number of gateways by which shares are divided.
+        outlier_gossip: Outliers reported by this gateway and its peers.
+        class_estimates: Estimates for each class, in the order of the settings.
+        max_class_threads: Largest thread count of any class.
+        min_class_threads: Smallest thread count of any class.
+        now_us: Current time.
+        started_at_us: Time of the first event; negative before it.
+        engines: All listed engines, and removed engines with running attempts.
+        active_engines: Engines on which an attempt of this gateway runs.
+        ready_engines: Engines that are listed and not draining.
+        warming_engines: Ready engines that are warming up.
+        ejected_engines: Numbers of the ejected engines.
+        effective_cores: Cores of the ready engines; with pooled limits, warming engines count in part.
+        is_pooled: Whether limits are pooled: one limit over all engines, for many gateways with few threads.
         requests: All pending requests by number.
-        actions: What the event in hand has led to so far.
+        actions: Actions decided so far for the current event.
     """
 
     settings: PolicySettings
@@ -217,7 +221,7 @@
     started_at_us: int = -1
     engines: dict[int, Engine] = field(default_factory=dict)
     active_engines: dict[int, Engine] = field(default_factory=dict)
-    present_engines: list[Engine] = field(default_factory=list)
+    ready_engines: list[Engine] = field(default_factory=list)
     warming_engines: list[Engine] = field(default_factory=list)
     ejected_engines: set[int] = field(default_factory=set)
     effective_cores: float = 0.0
@@ -227,7 +231,7 @@
 
     @classmethod
     def initial(cls, settings: PolicySettings) -> RouterState:
-        """The state of a router that knows no engine yet."""
+        """Return the state of a router that knows no engines yet."""
         return cls(
             settings,
             FleetSize(settings.gateway_count, settings.gateway_index),
@@ -238,7 +242,7 @@
         )
 
     def find_running(self, request_number: int, attempt_number: int) -> tuple[PendingRequest, Attempt] | None:
-        """An attempt that runs; None for one that was never made or is over."""
+        """Return a running attempt with its request; None if it does not exist or has ended."""
         request = self.requests.get(request_number)
         if request is None or not 0 <= attempt_number < len(request.attempts):
             return None
--- a/lilacfront/decisions/tenant_quota.py
+++ b/lilacfront/decisions/tenant_quota.py
@@ -1,4 +1,4 @@
-"""Per-tenant quotas: a token bucket for each tenant, holding this gateway's part of its quota."""
+"""Per-tenant quotas: one token bucket per tenant, filled at this gateway's share of the quota."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from lilacfront.decisions.events import RequestReceived
 from lilacfront.decisions.state import RouterState
 
-MAX_SAVED_S = 2.0  # of a tenant's rate, saved up while it is quiet
+MAX_BURST_S = 2.0  # bucket size, in seconds of the tenant's rate
 MIN_BUCKET_REQUESTS = 3.0
 MAX_DEBT_REQUESTS = 1.0
 US_PER_S = 1e6
@@ -18,13 +18,13 @@
 
     def __init__(self, state: RouterState) -> None:
         self._state = state
-        self._buckets = [(math.inf, 0) for _ in state.settings.tenants]  # tokens left, and when
+        self._buckets = [(math.inf, 0) for _ in state.settings.tenants]  # tokens and their time
 
     def charge(self, received: RequestReceived) -> bool:
-        """Count a request and return whether its tenant is over its quota.
+        """Charge a request to its tenant's quota and return whether the tenant is over its quota.
 
-        Requests over the quota do not wait; those that fit are served, since the tenant's traffic may just
-        come through few gateways. A client's own retry is not charged again.
+        Requests over the quota are not queued. They are still served if an engine has capacity, since the
+        tenant's traffic may reach only a few gateways. Retries by the client are not charged.
         """
         if received.tenant >= len(self._buckets):
             return False
@@ -32,7 +32,7 @@
         rate = state.settings.tenants[received.tenant].requests_per_s / state.fleet_size.quota_divisor
         tokens, at_us = self._buckets[received.tenant]
         refilled = tokens + rate * (state.now_us - at_us) / US_PER_S
-        tokens = min(max(MAX_SAVED_S * rate, MIN_BUCKET_REQUESTS), refilled)
+        tokens = min(max(MAX_BURST_S * rate, MIN_BUCKET_REQUESTS), refilled)
         if not received.is_client_retry:
             tokens = max(-MAX_DEBT_REQUESTS, tokens - 1.0)
         self._buckets[received.tenant] = tokens, state.now_us
--- a/lilacfront/operations/learned_state.py
+++ b/lilacfront/operations/learned_state.py
@@ -18,7 +18,7 @@
     """Collect the measurements of this process."""
     classes = tuple(
         LearnedClass(
-            estimate.sample_count, estimate.run_time_us, estimate.work_us, estimate.uncrowded_run_time_us
+            estimate.sample_count, estimate.run_time_us, estimate.work_us, estimate.uncontended_run_time_us
         )
         for estimate in router.state.class_estimates
     )
@@ -51,7 +51,7 @@
             estimate.sample_count = found.samples
             estimate.run_time_us = found.latency_us
             estimate.work_us = found.work_us
-            estimate.uncrowded_run_time_us = found.uncontended_us
+            estimate.uncontended_run_time_us = found.uncontended_us
 
 
 def _import_engines(router: RequestRouter, learned: LearnedState) -> None:
--- a/lilacfront/recovery/admission.py
+++ b/lilacfront/recovery/admission.py
@@ -103,7 +103,7 @@
         """Thread-seconds that a request of a class takes."""
         estimate = self._router.state.class_estimates[class_index]
         threads = self._classes[class_index].threads
-        return (estimate.uncrowded_run_time_us or estimate.run_time_us) / _US_PER_S * threads
+        return (estimate.uncontended_run_time_us or estimate.run_time_us) / _US_PER_S * threads
 
     def _capacity_at(self, at: float) -> float:
         """Thread-seconds a second that this front end may use at a time."""
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an engine."""
+"""Admission: the queue of requests that wait for an engine."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 
-def test_a_backlog_that_the_cores_can_clear_in_time_is_not_rejected() -> None:
+def test_requests_that_can_wait_are_queued_and_not_rejected() -> None:
     router = make_router(policy_settings(), endpoints(2))
     now = serve_in_sequence(router, 0, 40, 50_000)
     answers = [a for n in range(90) for a in receive_request(router, now, n, table_group=n)]
--- a/tests/decisions/test_endpoint_table.py
+++ b/tests/decisions/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""Endpoint lists and what follows from them."""
+"""Endpoint lists and the engines known from them."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
     assert {s.engine for n in range(10, 14) for s in forwards(receive_request(router, 4, n))} == {1}
 
 
-def test_discovery_is_polled_where_the_settings_say_so() -> None:
+def test_discovery_is_polled_only_if_the_settings_say_so() -> None:
     router = make_router(policy_settings(), ())
-    asking = make_router(policy_settings(polls_discovery=True), ())
+    polling = make_router(policy_settings(polls_discovery=True), ())
     cached = EndpointList(ListScope.CACHED, endpoints(1))
     assert WatchEndpoints(True) not in router.handle(0, cached)
-    assert WatchEndpoints(True) in asking.handle(0, cached)
-    (timer,) = [a for a in asking.handle(1, EndpointList(ListScope.FAILED)) if isinstance(a, SetTimer)]
-    assert asking.handle(timer.at_us, TimerFired(timer.token)) == [WatchEndpoints(True)]
+    assert WatchEndpoints(True) in polling.handle(0, cached)
+    (timer,) = [a for a in polling.handle(1, EndpointList(ListScope.FAILED)) if isinstance(a, SetTimer)]
+    assert polling.handle(timer.at_us, TimerFired(timer.token)) == [WatchEndpoints(True)]
 
 
-def test_removed_engines_are_forgotten() -> None:
+def test_removed_engines_are_deleted_once_no_attempt_runs_there() -> None:
     router = make_router(policy_settings(), endpoints(2))
     (send,) = forwards(receive_request(router, 0, 1))
-    gone = tuple(replace(e, state=EndpointState.REMOVED) for e in endpoints(2))
-    router.handle(SECOND_US, EndpointList(ListScope.DELTA, gone))
+    removed = tuple(replace(e, state=EndpointState.REMOVED) for e in endpoints(2))
+    router.handle(SECOND_US, EndpointList(ListScope.DELTA, removed))
     assert list(router.state.engines) == [send.engine]
     end_attempt(router, 2 * SECOND_US, send, AttemptResult.RESET)
     router.handle(3 * SECOND_US, EndpointList(ListScope.DELTA, ()))
--- a/tests/decisions/test_engine_capacity.py
+++ b/tests/decisions/test_engine_capacity.py
@@ -1,4 +1,4 @@
-"""Room on single engines."""
+"""Capacity of single engines with pooled limits."""
 
 from __future__ import annotations
 
@@ -9,18 +9,19 @@
 
 
 @pytest.mark.parametrize(
-    ("threads", "free", "count", "full", "least", "most"), [(4, 10, 10, 3.0, 1, 40), (1, 7, 30, 9.0, 1, 15)]
+    ("threads", "free_engine", "engine_count", "full_load", "min_sent", "max_sent"),
+    [(4, 10, 10, 3.0, 1, 40), (1, 7, 30, 9.0, 1, 15)],
 )
-def test_engines_full_by_their_reports_get_no_more_and_one_with_room_does_not_attract_all_gateways(
-    threads: int, free: int, count: int, full: float, least: int, most: int
+def test_full_engines_get_no_requests_and_a_free_one_does_not_attract_all_gateways(
+    threads: int, free_engine: int, engine_count: int, full_load: float, min_sent: int, max_sent: int
 ) -> None:
-    """Reports count queries, bounds threads: 24 queries of four threads fill an engine of 8 cores."""
-    chosen = []
-    for router in make_routers(40, endpoints(count), replace(LONG, threads=threads)):
+    """Load reports count queries and limits threads: 24 queries of 4 threads fill an engine of 8 cores."""
+    sent = []
+    for router in make_routers(40, endpoints(engine_count), replace(LONG, threads=threads)):
         router.state.class_estimates[0].sample_count = 1
         for number, engine in router.state.engines.items():
-            router.loads.record(engine, 0.1 if number == free else full)
-        chosen += forwards(
+            router.loads.record(engine, 0.1 if number == free_engine else full_load)
+        sent += forwards(
             receive_request(
                 router,
                 100 * SECOND_US,
@@ -29,5 +30,5 @@
                 time_left_us=20 * SECOND_US,
             )
         )
-    assert {s.engine for s in chosen} == {free}
-    assert least <= len(chosen) <= most
+    assert {s.engine for s in sent} == {free_engine}
+    assert min_sent <= len(sent) <= max_sent
--- a/tests/decisions/test_estimates.py
+++ b/tests/decisions/test_estimates.py
@@ -1,4 +1,4 @@
-"""What is learnt of request classes."""
+"""Estimates of request classes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 
-def test_the_objective_stretch_is_estimated_where_no_cost_is_reported() -> None:
+def test_the_objective_stretch_uses_the_estimated_run_time_if_no_work_is_reported() -> None:
     router = make_router(policy_settings(replace(LONG, latency_objective_stretch=2.5)), endpoints(1))
     serve_in_sequence(router, 0, 30, 2 * SECOND_US)
     objective_us = LONG.latency_objective_us + 2.5 * 2 * SECOND_US
--- a/tests/decisions/test_load_view.py
+++ b/tests/decisions/test_load_view.py
@@ -1,4 +1,4 @@
-"""Load reports and what stands for them."""
+"""Load of engines from load reports and from attempts that time out."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lilacfront.decisions.events import AttemptResult, EndpointList, ListScope
 
 
-def test_load_reports_from_before_a_restart_are_forgotten() -> None:
+def test_load_reports_from_before_a_restart_are_discarded() -> None:
     router = make_routers(200, endpoints(3), SHORT)[0]
     for number, load in ((1, 9.0), (2, 1.0)):
         router.loads.record(router.state.engines[number], load)
@@ -27,7 +27,7 @@
     assert router.state.engines[1].reported_load < 0
 
 
-def test_an_engine_that_reports_a_far_higher_load_is_passed_over_until_the_report_is_old() -> None:
+def test_an_engine_that_reports_a_high_load_is_avoided_until_the_report_is_old() -> None:
     router = make_routers(200, endpoints(10), SHORT)[0]
     now, sent_there = 100 * SECOND_US, 0
     for n in range(80):
@@ -35,12 +35,14 @@
         for send in forwards(receive_request(router, now, n, table_group=n)):
             sent_there += send.engine == 1
             end_with_load(router, now + 50_000, send, 60.0 if send.engine == 1 else 6.0)
-    assert 1 <= sent_there <= 4  # of 80 on ten engines
+    assert 1 <= sent_there <= 4  # of 80 attempts on ten engines
     full = router.state.engines[1]
     router.loads.record(full, 60.0 / 8)
     assert router.loads.load_per_core(full) > 2 * router.loads.mean_load
     router.state.now_us = now + 10 * router.loads.send_interval_us()
-    assert abs(router.loads.load_per_core(full) - router.loads.mean_load) < 1e-9  # never left out for good
+    assert (
+        abs(router.loads.load_per_core(full) - router.loads.mean_load) < 1e-9
+    )  # the old report has no weight
 
 
 def test_an_attempt_that_times_out_counts_as_a_load_report() -> None:
--- a/tests/decisions/test_ordered_keys.py
+++ b/tests/decisions/test_ordered_keys.py
@@ -1,4 +1,4 @@
-"""Requests of one ordering key."""
+"""Order of requests with the same ordering key."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_pinned_decisions.py
+++ b/tests/decisions/test_pinned_decisions.py
@@ -1,4 +1,4 @@
-"""Pinned decisions: the same events give the same actions, bit for bit, as when the digests were made."""
+"""Pinned decisions: the actions for seeded event streams must match the recorded digests exactly."""
 
 from __future__ import annotations
 
@@ -6,23 +6,26 @@
 from functools import cache
 
 import pytest
-from event_streams import ACTION_CODES, FleetPlay, Stream, play
+from event_stream_model import ACTION_CODES, Stream
+from event_streams import FleetRun, run_stream
 from helpers import KEYED, LIMITS, LONG, RULES, SHORT, UNSAFE, policy_settings
 
 from lilacfront.decisions.events import AttemptResult
 from lilacfront.decisions.settings import DeduplicationScope, PolicySettings, RequestClass, TenantQuota
 
-COLD = replace(
+COLD_RULES = replace(
     RULES,
     overload_factor=2.5,
     cold_capacity_fraction=0.3,
     overload_window_us=1_500_000,
     warm_up_us=14_000_000,
 )
-BUDGET = replace(COLD, retry_budget_window_us=5_000_000, retry_budget_min=2.0, retry_budget_ratio=0.25)
-GAP = replace(BUDGET, ordering_gap_us=300_000, poll_deadline_us=4_000_000)
-LOAD = replace(UNSAFE, is_load=True, waits_for_loads=True)
-MIX = (
+RETRY_BUDGET_RULES = replace(
+    COLD_RULES, retry_budget_window_us=5_000_000, retry_budget_min=2.0, retry_budget_ratio=0.25
+)
+ORDERING_GAP_RULES = replace(RETRY_BUDGET_RULES, ordering_gap_us=300_000, poll_deadline_us=4_000_000)
+DATA_LOAD = replace(UNSAFE, is_load=True, waits_for_loads=True)
+ALL_CLASSES = (
     SHORT,
     replace(LONG, latency_objective_stretch=1.5),
     KEYED,
@@ -37,89 +40,153 @@
 TENANTS = (TenantQuota(4.0), TenantQuota(30.0))
 
 
-def mixed(*classes: RequestClass, **changes: object) -> PolicySettings:
-    return policy_settings(*(classes or MIX), machine_type_cores=(8.0, 12.0), **changes)
+def mixed_settings(*classes: RequestClass, **changes: object) -> PolicySettings:
+    return policy_settings(*(classes or ALL_CLASSES), machine_type_cores=(8.0, 12.0), **changes)
 
 
-RETRY_AFTER = replace(LIMITS, may_send_retry_after=True, max_retry_after_us=2_000_000)
-GOSSIP = replace(LIMITS, may_gossip=True, max_attempts=5)
+RETRY_AFTER_LIMITS = replace(LIMITS, may_send_retry_after=True, max_retry_after_us=2_000_000)
+GOSSIP_LIMITS = replace(LIMITS, may_gossip=True, max_attempts=5)
 STREAMS = (
-    Stream("one", 1, 4000, mixed(rules=BUDGET, sets_priorities=True)),
+    Stream("one", 1, 4000, mixed_settings(rules=RETRY_BUDGET_RULES, sets_priorities=True)),
+    Stream(
+        "one, nothing permitted",
+        2,
+        3000,
+        mixed_settings(limits=replace(LIMITS, max_attempts=2, may_cancel=False)),
+    ),
     Stream(
-        "one, nothing permitted", 2, 3000, mixed(limits=replace(LIMITS, max_attempts=2, may_cancel=False))
+        "one, overload",
+        3,
+        3000,
+        mixed_settings(rules=COLD_RULES, limits=RETRY_AFTER_LIMITS),
+        relative_load=2.5,
+        table_group_count=5,
     ),
-    Stream("one, overload", 3, 3000, mixed(rules=COLD, limits=RETRY_AFTER), load=2.5, tables=5),
     Stream(
-        "one, notes", 4, 3000, mixed(SHORT, LONG, KEYED, notification_interval_us=200_000), sick_engines=3
+        "one, notes",
+        4,
+        3000,
+        mixed_settings(SHORT, LONG, KEYED, notification_interval_us=200_000),
+        faulty_engines=3,
+    ),
+    Stream(
+        "three",
+        5,
+        5000,
+        mixed_settings(gateway_count=3, rules=ORDERING_GAP_RULES, polls_discovery=True),
+        (0, 1, 2),
     ),
-    Stream("three", 5, 5000, mixed(gateway_count=3, rules=GAP, polls_discovery=True), (0, 1, 2)),
     Stream(
         "three, tenants",
         6,
         4000,
-        mixed(gateway_count=3, tenants=TENANTS, over_quota_weight=0.05, rules=GAP, reports_cost=True),
+        mixed_settings(
+            gateway_count=3,
+            tenants=TENANTS,
+            over_quota_weight=0.05,
+            rules=ORDERING_GAP_RULES,
+            reports_cost=True,
+        ),
         (0, 1, 2),
-        load=1.5,
+        relative_load=1.5,
     ),
     Stream(
-        "three, loads", 7, 4000, mixed(SHORT, LOAD, LONG, gateway_count=3, rules=BUDGET), (0, 2), tables=4
+        "three, loads",
+        7,
+        4000,
+        mixed_settings(SHORT, DATA_LOAD, LONG, gateway_count=3, rules=RETRY_BUDGET_RULES),
+        (0, 2),
+        table_group_count=4,
     ),
-    Stream("three, sick", 8, 4000, mixed(SHORT, LONG, gateway_count=3), (1,), engines=10, sick_engines=7),
     Stream(
-        "three, zones", 9, 3000, mixed(gateway_count=3, cross_zone_price=0.04, zone=1, rules=COLD), (0, 1)
+        "three, sick",
+        8,
+        4000,
+        mixed_settings(SHORT, LONG, gateway_count=3),
+        (1,),
+        engine_count=10,
+        faulty_engines=7,
+    ),
+    Stream(
+        "three, zones",
+        9,
+        3000,
+        mixed_settings(gateway_count=3, cross_zone_price=0.04, zone=1, rules=COLD_RULES),
+        (0, 1),
     ),
     Stream(
         "pooled",
         10,
         5000,
-        mixed(gateway_count=200, limits=GOSSIP, rules=BUDGET, gossip_price=0.01, sets_priorities=True),
+        mixed_settings(
+            gateway_count=200,
+            limits=GOSSIP_LIMITS,
+            rules=RETRY_BUDGET_RULES,
+            gossip_price=0.01,
+            sets_priorities=True,
+        ),
         (0, 57, 199),
-        engines=20,
-        load=0.05,
-        sick_engines=3,
+        engine_count=20,
+        relative_load=0.05,
+        faulty_engines=3,
     ),
     Stream(
         "pooled, zones and loads",
         11,
         4000,
-        mixed(gateway_count=200, limits=GOSSIP, cross_zone_price=0.04, zone=1, rules=GAP, gossip_price=0.001),
+        mixed_settings(
+            gateway_count=200,
+            limits=GOSSIP_LIMITS,
+            cross_zone_price=0.04,
+            zone=1,
+            rules=ORDERING_GAP_RULES,
+            gossip_price=0.001,
+        ),
         (3, 120),
-        engines=24,
-        zones=4,
-        load=0.05,
-        churn_s=1.0,
+        engine_count=24,
+        zone_count=4,
+        relative_load=0.05,
+        change_interval_s=1.0,
     ),
     Stream(
         "pooled, overload",
         12,
         4000,
-        mixed(SHORT, LONG, LOAD, gateway_count=200, rules=COLD, tenants=TENANTS, over_quota_weight=0.05),
+        mixed_settings(
+            SHORT,
+            LONG,
+            DATA_LOAD,
+            gateway_count=200,
+            rules=COLD_RULES,
+            tenants=TENANTS,
+            over_quota_weight=0.05,
+        ),
         (10, 11),
-        load=0.3,
-        engines=12,
-        sick_engines=4,
+        relative_load=0.3,
+        engine_count=12,
+        faulty_engines=4,
     ),
     Stream(
         "pooled, sick",
         13,
         3000,
-        mixed(SHORT, KEYED, gateway_count=40, notification_interval_us=200_000, rules=COLD),
+        mixed_settings(SHORT, KEYED, gateway_count=40, notification_interval_us=200_000, rules=COLD_RULES),
         (4, 5),
-        engines=12,
-        load=0.1,
-        sick_engines=10,
+        engine_count=12,
+        relative_load=0.1,
+        faulty_engines=10,
         fault_rate=0.1,
     ),
     Stream(
         "pooled, no reports",
         14,
         3000,
-        mixed(SHORT, replace(SHORT, priority_weight=2.0), gateway_count=200, limits=GOSSIP),
+        mixed_settings(SHORT, replace(SHORT, priority_weight=2.0), gateway_count=200, limits=GOSSIP_LIMITS),
         (0,),
-        engines=10,
-        load=0.1,
-        reports=False,
-        estimates=False,
+        engine_count=10,
+        relative_load=0.1,
+        has_load_reports=False,
+        has_work_estimates=False,
     ),
 )
 DIGESTS: dict[str, str] = {
@@ -141,17 +208,17 @@
 
 
 @cache
-def played(name: str) -> FleetPlay:
-    """A stream played once in this process; those that no test here asks for are not played."""
-    return play(next(stream for stream in STREAMS if stream.name == name))
+def run_stream_once(name: str) -> FleetRun:
+    """Return the result of a stream, which is run at most once per process."""
+    return run_stream(next(stream for stream in STREAMS if stream.name == name))
 
 
 @pytest.mark.parametrize("name", [stream.name for stream in STREAMS])
-def test_the_actions_on_a_seeded_stream_are_the_pinned_ones(name: str) -> None:
-    assert played(name).digest.hexdigest() == DIGESTS[name]
+def test_actions_on_a_seeded_stream_match_the_recorded_digest(name: str) -> None:
+    assert run_stream_once(name).digest.hexdigest() == DIGESTS[name]
 
 
-def test_the_streams_reach_every_kind_of_action_and_every_result_of_an_attempt() -> None:
-    plays = [played(stream.name) for stream in STREAMS]
-    assert set().union(*(each.codes for each in plays)) == set(ACTION_CODES.values())
-    assert set().union(*(each.results for each in plays)) == set(AttemptResult)
+def test_the_streams_cover_every_action_and_every_attempt_result() -> None:
+    runs = [run_stream_once(stream.name) for stream in STREAMS]
+    assert set().union(*(run.codes for run in runs)) == set(ACTION_CODES.values())
+    assert set().union(*(run.results for run in runs)) == set(AttemptResult)
--- a/tests/decisions/test_request_lifecycle.py
+++ b/tests/decisions/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Attempts and final answers."""
+"""Start and end of attempts, and final answers."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     assert answers == [Reject(1, 0)]
 
 
-def test_a_timeout_at_the_deadline_is_answered_at_once() -> None:
+def test_a_timeout_at_the_deadline_fails_the_request() -> None:
     router = make_router(policy_settings(), endpoints(2))
     (send,) = forwards(receive_request(router, 0, 1, time_left_us=2 * SECOND_US))
     assert send.deadline_us == 2 * SECOND_US
@@ -59,7 +59,7 @@
     assert not router.state.requests
 
 
-def test_a_response_that_streams_has_no_deadline_and_is_not_cancelled() -> None:
+def test_a_streaming_response_is_not_cancelled_at_the_deadline() -> None:
     router = make_router(policy_settings(replace(SHORT, is_streamed=True)), endpoints(1))
     (send,) = forwards(receive_request(router, 0, 1))
     router.handle(1000, ResponseStarted(1, 0, send.engine))
--- a/tests/decisions/test_send_rules.py
+++ b/tests/decisions/test_send_rules.py
@@ -1,4 +1,4 @@
-"""The rules on every forwarded attempt."""
+"""Rules for every forwarded attempt."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from lilacfront.decisions.events import AttemptResult, Endpoint, EndpointState
 
 
-def test_allowed_zones_hold_for_every_attempt_and_when_all_engines_there_are_down() -> None:
+def test_allowed_zones_and_machine_types_apply_to_every_attempt() -> None:
     fleet = (*endpoints(1, zone=0), Endpoint(2, EndpointState.READY, zone=1, machine_type=1))
     router = make_router(policy_settings(replace(SHORT, allowed_zones=(1,))), fleet)
     (send,) = forwards(receive_request(router, 0, 1))
@@ -33,7 +33,7 @@
 def test_attempts_never_overlap_and_never_exceed_the_maximum() -> None:
     router = make_router(policy_settings(limits=replace(LIMITS, max_attempts=2)), endpoints(6))
     (send,) = forwards(receive_request(router, 0, 1))
-    (again,) = forwards(end_attempt(router, 1000, send, AttemptResult.REJECTED))
-    actions = end_attempt(router, 2000, again, AttemptResult.REJECTED, 1)
+    (retry,) = forwards(end_attempt(router, 1000, send, AttemptResult.REJECTED))
+    actions = end_attempt(router, 2000, retry, AttemptResult.REJECTED, 1)
     assert not forwards(actions)
     assert final_answers(actions) == [Reject(1, 0)]
--- a/tests/decisions/test_settings_file.py
+++ b/tests/decisions/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The JSON form of the policy settings."""
+"""Reading of the policy settings from JSON."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
         ({"kinds": ["a", "b"]}, "cpu-of-kind"),
     ],
 )
-def test_an_error_names_the_key_of_a_setting_that_can_not_be_used(change: dict[str, Any], key: str) -> None:
+def test_an_error_names_the_key_of_an_invalid_setting(change: dict[str, Any], key: str) -> None:
     with pytest.raises(PolicySettingsError, match=key):
         parse_settings(json.dumps(SETTINGS | change))
 
@@ -101,10 +101,10 @@
         {"orgs": [{"allowance-per-s": 0}], "over-share-worth": 0, "slot-no": 0, "zone": 0},
     ],
 )
-def test_requests_are_served_with_zeros_and_absent_values_where_those_are_allowed(
+def test_requests_are_served_with_zero_and_absent_values(
     change: dict[str, Any],
 ) -> None:
-    """Each figure may stand below a division or a root; a request goes through with all of them."""
+    """A zero must not lead to a division by zero anywhere on the path of a request."""
     parsed, _ = parse_settings(json.dumps(SETTINGS | change))
     for gateway_count in (1, 200):
         router = RequestRouter(replace(parsed, gateway_count=gateway_count), 7)
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "expected"),
     [
         ("nonsense", "JSON"),
         ("{}", "classes"),
@@ -132,6 +132,6 @@
         ('{"classes": [{"aim": 1, "deadline": 2}], "safety": {"extra-ratio": 0.1}}', "budget-span"),
     ],
 )
-def test_an_error_names_what_is_wrong_with_the_whole_file(text: str, named: str) -> None:
-    with pytest.raises(PolicySettingsError, match=named):
+def test_an_error_names_the_cause_in_the_whole_file(text: str, expected: str) -> None:
+    with pytest.raises(PolicySettingsError, match=expected):
         parse_settings(text)
--- a/tests/decisions/test_table_group_demand.py
+++ b/tests/decisions/test_table_group_demand.py
@@ -1,4 +1,4 @@
-"""The demand for table groups."""
+"""Demand for table groups."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from lilacfront.decisions.events import AttemptResult
 
 
-def test_table_groups_made_up_by_clients_are_not_kept_for_ever() -> None:
+def test_the_number_of_tracked_table_groups_is_bounded() -> None:
     router = make_routers(200, endpoints(100), SHORT)[0]
     for n in range(5000):
         now = 100 * SECOND_US + n
--- a/tests/decisions/test_tenant_quota.py
+++ b/tests/decisions/test_tenant_quota.py
@@ -1,4 +1,4 @@
-"""Tenants' quotas."""
+"""Per-tenant quotas."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 from lilacfront.decisions.settings import TenantQuota
 
 
-def test_requests_over_their_tenants_quota_do_not_wait() -> None:
+def test_requests_over_the_tenants_quota_are_not_queued() -> None:
     tenants = (TenantQuota(4.0), TenantQuota(400.0))
     router = make_router(policy_settings(tenants=tenants, over_quota_weight=0.05), endpoints(2))
     for n in range(48):
         assert forwards(receive_request(router, 0, n, tenant=1))
-    first = [final_answers(receive_request(router, 0, 100 + n, tenant=0)) for n in range(10)]
-    assert first == [[]] * 8 + [[Reject(108, 0)], [Reject(109, 0)]]
+    answers = [final_answers(receive_request(router, 0, 100 + n, tenant=0)) for n in range(10)]
+    assert answers == [[]] * 8 + [[Reject(108, 0)], [Reject(109, 0)]]
     assert final_answers(receive_request(router, 0, 200, tenant=1)) == []
 
 
--- a/tests/decisions/test_unexpected_events.py
+++ b/tests/decisions/test_unexpected_events.py
@@ -1,4 +1,4 @@
-"""Events that name what the router does not know."""
+"""Events with unknown requests, attempts, engines or classes."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
     assert router.handle(10, ClientDisconnected(99)) == []
     assert router.handle(10, TimerFired(12345)) == []
     assert router.state.engines[send.engine].concurrency.used == 1
-    again = end_attempt(router, 20, send, AttemptResult.ERROR)
-    assert forwards(again)
+    actions = end_attempt(router, 20, send, AttemptResult.ERROR)
+    assert forwards(actions)
     assert router.handle(30, AttemptEnded(1, 0, send.engine, AttemptResult.OK, 5)) == []  # reported twice
 
 
-def test_a_request_number_in_use_is_ignored() -> None:
+def test_a_request_with_a_number_in_use_is_ignored() -> None:
     router = make_router(policy_settings(), endpoints(3))
     (send,) = forwards(receive_request(router, 0, 1))
     assert receive_request(router, 10, 1) == []
@@ -61,7 +61,7 @@
     assert all(e.concurrency.used == 0 for e in router.state.engines.values())
 
 
-def test_a_clock_that_runs_backwards_counts_as_standing_still() -> None:
+def test_a_clock_that_goes_backwards_counts_as_stopped() -> None:
     router = make_router(policy_settings(), endpoints(3), now=5 * SECOND_US)
     (send,) = forwards(receive_request(router, 2 * SECOND_US, 1, time_left_us=SECOND_US))
     assert send.deadline_us == 6 * SECOND_US
@@ -86,9 +86,11 @@
     assert router.loads.report_count == 0
 
 
-def test_the_last_entry_counts_where_a_list_names_an_engine_twice() -> None:
-    lines = (Endpoint(1, EndpointState.READY), Endpoint(1, EndpointState.DRAINING))
-    router = make_router(policy_settings(), (*endpoints(1)[1:], *lines, Endpoint(2, EndpointState.READY)))
+def test_the_last_entry_counts_if_a_list_contains_an_engine_twice() -> None:
+    duplicates = (Endpoint(1, EndpointState.READY), Endpoint(1, EndpointState.DRAINING))
+    router = make_router(
+        policy_settings(), (*endpoints(1)[1:], *duplicates, Endpoint(2, EndpointState.READY))
+    )
     assert {s.engine for n in range(6) for s in forwards(receive_request(router, 1, n))} == {2}
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -132,5 +132,5 @@
 
 def fire_step_timer(router: RequestRouter, now: int) -> list[Action]:
     """Fire the step timer on time."""
-    router.step_due_us = now
+    router.next_step_at_us = now
     return router.handle(now, TimerFired(0))
--- a/tests/server/test_large_fleet.py
+++ b/tests/server/test_large_fleet.py
@@ -80,13 +80,13 @@
     config = configuration.parse(text, {})
     server = Server(config, loop, lambda: configuration.parse(text, {}))
     router = server.dispatcher.router
-    assert len(router.state.present_engines) == FLEET_SIZE
+    assert len(router.state.ready_engines) == FLEET_SIZE
     assert len(config.peer_addresses) == FLEET_SIZE
     assert router.state.is_pooled
     assert len(engines_used(router, REQUESTS)) > 200
     changes = [warehouse(number, lifecycle="draining") for number in range(0, FLEET_SIZE, 2)]
     server.receive_update(msgspec.convert({"instances": changes}, EndpointUpdate))
-    assert len(router.state.present_engines) == FLEET_SIZE // 2
+    assert len(router.state.ready_engines) == FLEET_SIZE // 2
     server.reload_config()
     held, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
