--- a/lilacfront/decisions/__init__.py
+++ b/lilacfront/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on requests: which engine, when to retry, when to reject. No I/O and no clock of its own."""
+"""Routing decisions: engine selection, retries and rejection of requests, without I/O or a clock."""
--- a/tests/decisions/test_router_properties.py
+++ b/tests/decisions/test_router_properties.py
@@ -98,7 +98,7 @@
         self.timers: list[tuple[int, int]] = []
         self.retries_us: list[int] = []
 
-    def play(self, steps: list[Step]) -> None:
+    def run(self, steps: list[Step]) -> None:
         self.handle(EndpointList(ListScope.CACHED, tuple(self.endpoints.values())))
         for step in steps:
             self.step(*step)
@@ -265,7 +265,7 @@
 @given(st.sampled_from(CONFIGS), st.lists(STEPS, min_size=30, max_size=120))
 def test_rules_hold_on_random_event_sequences(config: PolicySettings, steps: list[Step]) -> None:
     caller = Caller(config)
-    caller.play(steps)
+    caller.run(steps)
     caller.advance(caller.now + 30_000_000)
     for request in caller.running():
         caller.end_attempt(request, AttemptResult.TIMEOUT)
@@ -277,6 +277,6 @@
 @given(st.sampled_from(CONFIGS), st.lists(STEPS, min_size=10, max_size=60))
 def test_the_same_events_give_the_same_actions(config: PolicySettings, steps: list[Step]) -> None:
     first, second = Caller(config), Caller(config)
-    first.play(steps)
-    second.play(steps)
+    first.run(steps)
+    second.run(steps)
     assert first.attempts == second.attempts
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -110,7 +110,7 @@
     assert sent_there >= 12  # of about 19 turns; without preference a sixth of them would send it one
 
 
-def test_a_restarted_gateway_sends_nothing_in_its_first_window() -> None:
+def test_a_restarted_gateway_skips_its_first_window_and_then_keeps_to_its_turns() -> None:
     """Its previous process may have used the turn of that window already."""
     started_us = 100 * SECOND_US
     cold = (replace(endpoints(1)[0], started_us=started_us),)
