--- a/lilacfront/membership/__init__.py
+++ b/lilacfront/membership/__init__.py
@@ -1,8 +1,8 @@
-"""Which front ends of a tier are alive, and what they report to each other.
+"""Membership of the front ends in a tier: failure detection, and gossip about fleet size and outliers.
 
-`failure_detector` ties the parts of the SWIM protocol: `probing`, `suspicion`, `refutation`, `update_rules`,
-`update_packing`, `reception` and `sender`; `messages` and `codec` are its datagrams. `fleet_size` and
-`outlier_gossip` are what the decisions use; `integration` brings the protocol to them.
-`service` runs it all on the program's loop, and `datagram_link` is the socket; nothing else does any I/O.
-`settings` reads the file that turns membership on.
+`failure_detector` implements the SWIM protocol with `probing`, `suspicion`, `refutation`, `update_rules`,
+`update_packing`, `reception` and `sender`. `messages` defines its messages and `codec` their wire format.
+The routing decisions use `fleet_size` and `outlier_gossip`, which `integration` keeps up to date.
+`service` runs the failure detector on the event loop, and `datagram_link` is the UDP socket; no other module
+does I/O. `settings` reads the settings file, in which membership is turned on.
 """
--- a/lilacfront/membership/codec.py
+++ b/lilacfront/membership/codec.py
@@ -1,14 +1,14 @@
-"""The form of messages between front ends on the wire, versions side by side. No I/O.
+"""Wire format of messages between front ends. No I/O.
 
-A message is a header and any number of items, each with its kind and length, so that a kind that is not known
-here is skipped. Version 1, load reports alone and without a header, is `load_gossip`'s; front ends of that
-version drop what begins with another number.
+This module encodes and decodes version 2. A message is a header and any number of items. Each item has a kind
+and a length, so items of an unknown kind are skipped. Version 1, implemented by `load_gossip`, consists of
+load reports without a header. Front ends of version 1 drop datagrams with another version in the first byte.
 
     header  version, flags, key, sender (2), incarnation (4), sequence (4), seconds (4)     17 bytes
-    item    kind, length, that many bytes
-    tag     16 bytes of keyed blake2b over all before it, where flag 1 is set
+    item    kind, length, body of that length
+    tag     16 bytes, keyed BLAKE2b of all bytes before it; present if flag 1 is set
 
-Numbers are big-endian.
+Fields without a size are one byte. All numbers are big-endian.
 """
 
 from __future__ import annotations
@@ -42,13 +42,13 @@
     StateDigest,
 )
 
-MAX_DATAGRAM_BYTES = 256  # the platform voids a run for a longer one
+MAX_DATAGRAM_BYTES = 256  # the platform voids a run if a datagram is longer
 VERSION = 2
 FLAG_TAGGED = 1
 TAG_BYTES = 16
 ITEM_HEADER_BYTES = 2
-LOW_BITS_MASK = 0x3F  # of an incarnation, in a compact update
-STATE_SHIFT = 6  # of the state in a compact update, above the low bits
+LOW_BITS_MASK = 0x3F  # bits of the incarnation in a compact update
+STATE_SHIFT = 6  # position of the state in a compact update, above the low bits of the incarnation
 SEQ_MASK = 0xFFFFFFFF
 HEADER = struct.Struct(">BBBHIII")
 UPDATE = struct.Struct(">HIB")
@@ -63,10 +63,10 @@
 
 
 class CodecError(LilacfrontError, ValueError):
-    """Bytes that are no message for this member; the text is shown to operators as the reason."""
+    """A datagram that is no valid message; the admin command PEERS shows the text as the reason."""
 
 
-# ---- bodies of the kinds of items -------------------------------------------------------------
+# ---- item bodies ------------------------------------------------------------------------------
 def _encode_probe(item: Probe) -> bytes:
     match item:
         case Ping(sequence, member) | Ack(sequence, member) | PingRequest(sequence, member):
@@ -90,7 +90,7 @@
 
 
 def _decode_updates(body: bytes) -> list[Item]:
-    """The updates; one with a state that only a later version knows is skipped."""
+    """Decode updates; those with an unknown state, of a later version, are skipped."""
     return [
         MemberUpdate(member, incarnation, STATES[state])
         for member, incarnation, state in UPDATE.iter_unpack(body)
@@ -126,12 +126,12 @@
 
 
 def _encode_bitmap(item: MemberBitmap) -> bytes:
-    blocks = (BITMAP_BLOCK.pack(block.index, block.bits, block.check) for block in item.blocks)
+    blocks = (BITMAP_BLOCK.pack(block.index, block.bits, block.checksum) for block in item.blocks)
     return bytes([item.state]) + b"".join(blocks)
 
 
 def _decode_bitmap(body: bytes) -> list[Item]:
-    """The bitmap; one of a state that only a later version knows is skipped."""
+    """Decode a bitmap; one with an unknown state, of a later version, is skipped."""
     if body[0] > MemberState.LEFT:
         return []
     blocks = tuple(BitmapBlock(*fields) for fields in BITMAP_BLOCK.iter_unpack(body[1:]))
@@ -157,7 +157,7 @@
 
 
 def _encode_chunk_request(item: ChunkRequest) -> bytes:
-    return CHUNK.pack(item.kind, item.check, item.offset)
+    return CHUNK.pack(item.kind, item.checksum, item.offset)
 
 
 def _decode_chunk_request(body: bytes) -> list[Item]:
@@ -165,26 +165,26 @@
 
 
 def _encode_chunk(item: StateChunk) -> bytes:
-    return CHUNK.pack(item.kind, item.check, item.offset) + item.data
+    return CHUNK.pack(item.kind, item.checksum, item.offset) + item.data
 
 
 def _decode_chunk(body: bytes) -> list[Item]:
-    kind, check, offset = CHUNK.unpack_from(body)
-    return [StateChunk(kind, check, offset, body[CHUNK.size :])]
+    kind, checksum, offset = CHUNK.unpack_from(body)
+    return [StateChunk(kind, checksum, offset, body[CHUNK.size :])]
 
 
 @dataclass(slots=True, frozen=True)
 class ItemCodec:
-    """How one kind of items goes on the wire.
+    """Encoding of one kind of items.
 
     Attributes:
-        kind: Its number on the wire.
-        item: Its class.
-        encode: The body of an item.
-        decode: The items in a body of an allowed length.
-        length_error: What operators are shown for a body of another length.
-        fixed_bytes: Length of a body before what is repeated.
-        repeated_bytes: Length of what may be repeated; 0: nothing is, 1: any bytes.
+        kind: Number of the kind on the wire.
+        item: Class of the items.
+        encode: Returns the body of an item.
+        decode: Returns the items in a body of a valid length.
+        length_error: Text of the CodecError for a body of an invalid length.
+        fixed_bytes: Length of the fixed part of the body in bytes.
+        repeated_bytes: Length of each repeated element after the fixed part; 0 if there are none.
     """
 
     kind: int
@@ -196,18 +196,18 @@
     repeated_bytes: int = 0
 
     def fits(self, length: int) -> bool:
-        """Whether a body may have this length."""
-        further = length - self.fixed_bytes
+        """Whether this is a valid length of a body."""
+        repeated_length = length - self.fixed_bytes
         if self.repeated_bytes == 0:
-            return further == 0
-        return further >= 0 and further % self.repeated_bytes == 0
+            return repeated_length == 0
+        return repeated_length >= 0 and repeated_length % self.repeated_bytes == 0
 
 
-_PROBE_ERROR = "a probe of another length"
+_PROBE_LENGTH_ERROR = "a probe of another length"
 _CODECS = (
-    ItemCodec(1, Ping, _encode_probe, _decode_ping, _PROBE_ERROR, PROBE.size),
-    ItemCodec(2, Ack, _encode_probe, _decode_ack, _PROBE_ERROR, PROBE.size),
-    ItemCodec(3, PingRequest, _encode_probe, _decode_ping_request, _PROBE_ERROR, PROBE.size),
+    ItemCodec(1, Ping, _encode_probe, _decode_ping, _PROBE_LENGTH_ERROR, PROBE.size),
+    ItemCodec(2, Ack, _encode_probe, _decode_ack, _PROBE_LENGTH_ERROR, PROBE.size),
+    ItemCodec(3, PingRequest, _encode_probe, _decode_ping_request, _PROBE_LENGTH_ERROR, PROBE.size),
     ItemCodec(4, MemberUpdate, _encode_update, _decode_updates, "news of another length", 0, UPDATE.size),
     ItemCodec(5, LoadReports, _encode_load_reports, _decode_load_reports, "", 0, 1),
     ItemCodec(
@@ -254,22 +254,22 @@
 )
 _BY_KIND = {codec.kind: codec for codec in _CODECS}
 _BY_CLASS = {codec.item: codec for codec in _CODECS}
-_MERGED = (MemberUpdate, CompactUpdate)  # all of a message go into one item, before the other items
+_MERGED = (MemberUpdate, CompactUpdate)  # all updates of a class are encoded as one item, before other items
 
 
 # ---- messages ---------------------------------------------------------------------------------
-def items_room(tagged: bool) -> int:
-    """Bytes for items in one message."""
+def max_items_bytes(tagged: bool) -> int:
+    """Maximum total size of the items in one message."""
     return MAX_DATAGRAM_BYTES - HEADER.size - (TAG_BYTES if tagged else 0)
 
 
 def item_size(item: Item) -> int:
-    """Bytes that an item takes by itself."""
+    """Encoded size of a single item, including its header."""
     return ITEM_HEADER_BYTES + len(_BY_CLASS[type(item)].encode(item))
 
 
 def encode(message: Message, key: tuple[int, bytes] | None = None) -> bytes:
-    """The bytes of a message, with a tag where a key is given; the caller has seen to the room."""
+    """Encode a message, with a tag if a key is given. The caller ensures that the items fit."""
     flags, key_id = (0, 0) if key is None else (FLAG_TAGGED, key[0])
     header = HEADER.pack(
         VERSION, flags, key_id, message.sender, message.incarnation, message.sequence, message.sent_at_s
@@ -293,14 +293,14 @@
 
 
 def decode(data: bytes, keys: Mapping[int, bytes] | None = None) -> Message:
-    """Read a message.
+    """Decode a message.
 
     Args:
         data: A datagram.
-        keys: By their numbers; where there are any, only what one of them has tagged is accepted.
+        keys: Keys by their numbers. If there are any, the message must have a valid tag of one of them.
 
     Raises:
-        CodecError: It is malformed, of another version, or not tagged as it must be.
+        CodecError: The datagram is malformed or has another version, no tag or an invalid tag.
     """
     if not HEADER.size <= len(data) <= MAX_DATAGRAM_BYTES:
         raise CodecError(f"{len(data)} bytes")
--- a/lilacfront/membership/datagram_link.py
+++ b/lilacfront/membership/datagram_link.py
@@ -1,4 +1,4 @@
-"""The UDP socket between front ends. Datagrams are accepted from peers alone, and not read here."""
+"""UDP socket for datagrams between front ends; datagrams from addresses other than the peers' are dropped."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from lilacfront.sched import Loop
 
 log = Log(__name__)
-MAX_DATAGRAMS_PER_TURN = 64  # so that a flood of them can't keep a turn of the loop to itself
+MAX_DATAGRAMS_PER_TURN = 64  # so that a flood of datagrams can't block the event loop
 
 
 class DatagramLink:
-    """One socket at `listen`; peers are named by their places in `addresses`."""
+    """A UDP socket bound to `listen`. Peers are identified by their index in `addresses`."""
 
     def __init__(
         self,
@@ -28,19 +28,20 @@
         """Bind the socket and watch it.
 
         Args:
-            loop: The program's loop.
+            loop: The event loop.
             listen: Address to bind to.
-            addresses: Of all peers, this one among them.
-            on_datagram: Is called with the place of the sender and the bytes.
-            shared: Whether another process of this front end may be bound, too; the last one receives.
+            addresses: Addresses of all peers, including this one.
+            on_datagram: Called with the index of the sender and the bytes of each received datagram.
+            shared: Whether another process of this front end may be bound to the same address. The process
+                that was bound last receives the datagrams.
 
         Raises:
-            OSError: The address can't be used.
+            OSError: The socket can't be bound to the address.
         """
         self.loop = loop
         self.addresses = addresses
         self._on_datagram = on_datagram
-        self._places = {address: place for place, address in enumerate(addresses)}
+        self._peers_by_address = {address: peer for peer, address in enumerate(addresses)}
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         try:
@@ -57,14 +58,17 @@
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 data, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # nothing more, or an ICMP error for an earlier datagram
+            except OSError:  # no more datagrams, or an ICMP error for a sent datagram
                 return
-            place = self._places.get(sender)
-            if place is not None and len(data) <= MAX_DATAGRAM_BYTES:
-                self._on_datagram(place, data)
+            peer = self._peers_by_address.get(sender)
+            if peer is not None and len(data) <= MAX_DATAGRAM_BYTES:
+                self._on_datagram(peer, data)
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """Send to one peer, or to all (None). It may come late or never; too long a datagram is dropped."""
+        """Send a datagram to one peer, or to all if `peer` is None; it is dropped if it is too long.
+
+        Delivery is not guaranteed, and errors of the socket are only logged.
+        """
         if len(data) > MAX_DATAGRAM_BYTES:
             log.error("peer datagram too long", bytes=len(data))
             return
@@ -75,6 +79,6 @@
                 log.debug("peer datagram not sent", peer=address, error=problem)
 
     def close(self) -> None:
-        """Close the socket."""
+        """Unregister the socket from the event loop, and close it."""
         self.loop.unwatch(self.sock.fileno())
         self.sock.close()
--- a/lilacfront/membership/failure_detector.py
+++ b/lilacfront/membership/failure_detector.py
@@ -1,9 +1,12 @@
-"""Finds out which front ends are alive: SWIM's probes with suspicion and Lifeguard's local health. No I/O.
+"""Failure detector for front ends: the SWIM protocol with Lifeguard's local health multiplier. No I/O.
 
-Das, Gupta and Motivala, "SWIM" (2002), and Dadgar, Phillips and Currey, "Lifeguard" (2017), with changes:
-nobody is held dead on the report of one other member; a front end that receives from nobody declares nobody
-dead, as it is as likely cut off itself; members held dead are probed now and then, so that two halves find
-each other again; and all that is sent stays under a rate in bytes.
+See Das, Gupta and Motivala, "SWIM" (2002), and Dadgar, Phillips and Currey, "Lifeguard" (2017). This
+implementation differs in four points:
+
+- A report of a single other member is not enough to declare a member dead.
+- A front end that receives no messages declares no member dead, because it may be isolated itself.
+- Dead members are still probed at a low rate, so that the two sides of a partition merge when it heals.
+- All sent messages are limited to a rate in bytes per second.
 """
 
 from __future__ import annotations
@@ -31,15 +34,15 @@
 
 MIN_TICK_INTERVAL_S = 0.01
 GOSSIP_INTERVAL_S = 0.2
-GOSSIP_FANOUT = 2  # members that are sent gossip in a round
-LEAVE_FANOUT = 8  # members that are notified at once that this front end leaves
+GOSSIP_FANOUT = 2  # number of members that receive gossip per interval
+LEAVE_FANOUT = 8  # number of members that are notified directly when this front end leaves
 
 
 class FailureDetector:
-    """One front end's side of the protocol.
+    """The failure detector of one front end.
 
-    `tick`, `receive` and the other methods that return datagrams leave it to the caller to send them. All
-    times are seconds of one clock that does not go back.
+    `tick`, `receive` and other methods return datagrams, which the caller has to send. All times are seconds
+    of a monotonic clock.
     """
 
     def __init__(
@@ -75,74 +78,80 @@
         self._last_tick_at = now
         self._refuter.begin(self._incarnation.value, now, "started")
 
-    # ---- what is known -----------------------------------------------------------------------
+    # ---- state -------------------------------------------------------------------------------
     @property
     def member_count(self) -> int:
-        """How many members there are, this one among them."""
+        """Number of members, including this one."""
         return self._node.member_count
 
     @property
     def incarnation(self) -> int:
-        """This front end's incarnation."""
+        """Incarnation of this front end."""
         return self._incarnation.value
 
     @property
     def last_contact_at(self) -> array[float]:
-        """By member, when it was last received from."""
+        """Time of the last message from each member."""
         return self._node.last_contact_at
 
     @property
     def was_paused(self) -> bool:
-        """Whether this front end was paused, and has received nothing since."""
+        """Whether this front end was paused and has received no message since."""
         return self._node.was_paused
 
     @property
     def has_left(self) -> bool:
-        """Whether this front end has left, or another process acts for it."""
+        """Whether this front end has left, or another process acts as this member."""
         return self._node.has_left
 
     @property
     def rejected(self) -> dict[str, int]:
-        """How many messages were rejected, by reason."""
+        """Number of rejected messages by reason."""
         return self._rejections.counts
 
     @property
     def sent_bytes(self) -> int:
-        """Of all datagrams so far, headers of IP and UDP included."""
+        """Total size of all sent datagrams in bytes, including IP and UDP headers."""
         return self._sender.sent_bytes
 
     def is_isolated(self, now: float) -> bool:
-        """Whether this front end may be the one that is cut off, or was just paused."""
+        """Whether this front end may be isolated from the others, or was just paused."""
         return self._node.is_isolated(now)
 
     # ---- settings ----------------------------------------------------------------------------
     def set_keys(self, keys: dict[int, bytes]) -> None:
-        """Tag with the first of these from now on, and accept what any of them has tagged."""
+        """Set the keys: messages are tagged with the first one and accepted with a tag of any of them."""
         self._sender.set_keys(keys)
 
     def set_piggyback(self, piggyback: Piggyback) -> None:
-        """Send the items of this piggyback along from now on, and hand it those that are received."""
+        """Set the piggyback, which supplies items for sent messages and receives the items of others."""
         self._packer.piggyback = piggyback
 
-    def raise_incarnation(self, least: int) -> None:
-        """Be in this incarnation at the least: an earlier process is known to have been below it.
+    def raise_incarnation(self, minimum: int) -> None:
+        """Raise the incarnation of this front end to at least `minimum`.
 
-        With a clock that was set back the new process's would be lower, and nobody would believe it.
+        The caller passes a number above the incarnations of all earlier processes. After a step back of the
+        wall clock, the incarnation of a new process would be lower, and other members would ignore its
+        messages.
         """
-        if self._incarnation.may_restore(least):
-            self._refuter.begin(least, self._node.clock, "restored")
+        if self._incarnation.may_restore(minimum):
+            self._refuter.begin(minimum, self._node.clock, "restored")
 
     # ---- time --------------------------------------------------------------------------------
     def next_deadline(self) -> float:
-        """When `tick` next has something to do; it may be called earlier, and at least every second."""
-        due = self.prober.next_deadline(self._last_tick_at + PAUSE_THRESHOLD_S / 2)
+        """When `tick` has to be called next; earlier calls are allowed.
+
+        It is at most half of PAUSE_THRESHOLD_S after the last tick, so that an idle front end doesn't count
+        as paused.
+        """
+        deadline = self.prober.next_deadline(self._last_tick_at + PAUSE_THRESHOLD_S / 2)
         if len(self._queue):
-            due = min(due, self._next_gossip_at)
-        due = self._suspicions.next_deadline(due)
-        return max(due, self._last_tick_at + MIN_TICK_INTERVAL_S)
+            deadline = min(deadline, self._next_gossip_at)
+        deadline = self._suspicions.next_deadline(deadline)
+        return max(deadline, self._last_tick_at + MIN_TICK_INTERVAL_S)
 
     def tick(self, now: float) -> list[OutgoingDatagram]:
-        """Do what is due: time out probes and suspicions, probe, gossip."""
+        """Run expired timers: time out probes and suspicions, send the next probe, send gossip."""
         self._last_tick_at = now
         sends = self._observe_time(now)
         if self._node.has_left:
@@ -156,17 +165,19 @@
         return sends
 
     def _observe_time(self, now: float) -> list[OutgoingDatagram]:
-        """Where this front end was paused, what timed out meanwhile timed out here alone.
+        """Advance the clock, and recover if this front end was paused.
 
-        Nobody is declared dead until something is received. This front end may be suspect or dead elsewhere,
-        so it refutes before it learns that; a message that came while it was paused may be read before the
-        first tick after it.
+        Timeouts that expired during a pause are no sign of a failed member. So pending probes are dropped and
+        suspicions are extended, and no member is declared dead until a message is received. Other members may
+        have marked this front end as suspect or dead, so it refutes at once, before it receives such an
+        update. `receive` calls this, too: a message that arrived during the pause may be read before the
+        first tick.
         """
         gap_s = self._node.advance_clock(now)
         if not gap_s:
             return []
         self._node.was_paused = True
-        self.prober.forget_pending()
+        self.prober.clear_pending()
         self._suspicions.extend_after_pause(gap_s)
         self._sender.bucket.skip(now)
         self._node.last_ack_at = now
@@ -182,32 +193,35 @@
         return sends
 
     # ---- messages ----------------------------------------------------------------------------
-    def receive(self, now: float, place: int, data: bytes) -> list[OutgoingDatagram]:
-        """Read a datagram from the address of member `place`."""
-        message = self._checker.check(place, data, self._sender.keys)
+    def receive(self, now: float, source: int, data: bytes) -> list[OutgoingDatagram]:
+        """Handle a datagram from the address of member `source`."""
+        message = self._checker.check(source, data, self._sender.keys)
         if message is None:
             return []
         sends = self._observe_time(now)
         self._node.last_received_at = now
-        self._node.last_contact_at[place] = now
+        self._node.last_contact_at[source] = now
         self._node.was_paused = False
-        self._dispatcher.note_sender(now, message)
+        self._dispatcher.record_sender(now, message)
         sends += self._dispatcher.dispatch(now, message)
-        sends += self._refuter.refute_if_accused(now, place)
-        sends += self._dispatcher.send_correction(now, place)
+        sends += self._refuter.refute_if_accused(now, source)
+        sends += self._dispatcher.send_correction(now, source)
         return sends
 
     def send_item(self, now: float, peer: int, item: Item) -> list[OutgoingDatagram]:
-        """Send one item of the piggyback to a member, where the rate has room to spare."""
+        """Send one item of the piggyback to a member, unless the rate limit is nearly reached."""
         return self._dispatcher.send_item(now, peer, item)
 
     # ---- leaving -----------------------------------------------------------------------------
     def leave(self, now: float) -> list[OutgoingDatagram]:
-        """Notify some members that this front end leaves; they notify the others. No tick sends after it."""
-        own = self._node.own
-        update = MemberUpdate(own, self._incarnation.value, MemberState.LEFT)
+        """Notify LEAVE_FANOUT members that this front end leaves; gossip reaches the others.
+
+        After that `tick` sends no probes and no gossip.
+        """
+        own_member = self._node.own_member
+        update = MemberUpdate(own_member, self._incarnation.value, MemberState.LEFT)
         self.view.apply(update, now, "leaving")
-        self._queue.enqueue(own)
+        self._queue.enqueue(own_member)
         sends: list[OutgoingDatagram] = []
         for peer in self._selector.draw_live(LEAVE_FANOUT):
             sends += self._sender.send(now, peer)
@@ -215,14 +229,14 @@
         return sends
 
     def stop(self) -> None:
-        """Send nothing by ticks from now on: another process acts for this front end."""
+        """Stop probes and gossip, because another process takes over as this member."""
         self._node.has_left = True
 
     def rejoin(self, now: float) -> list[OutgoingDatagram]:
-        """Take part again, in a new incarnation."""
+        """Become a member again, with a new incarnation."""
         self._node.has_left = False
         self._refuter.begin(self._incarnation.value + 1, now, "rejoined")
-        self._queue.enqueue(self._node.own)
+        self._queue.enqueue(self._node.own_member)
         self._node.last_received_at = now
         self._node.last_ack_at = now
         sends: list[OutgoingDatagram] = []
--- a/lilacfront/membership/fleet_size.py
+++ b/lilacfront/membership/fleet_size.py
@@ -1,11 +1,14 @@
-"""By how many front ends a share is divided, from the number of live ones. No I/O.
-
-A dead front end can't be told from one that is cut off. So whatever the views are, in a partition into any
-parts, what all front ends take together stays within what the engines bear: nobody counts fewer than
-MIN_COUNTED_FRACTION of all that have not said that they leave, and of a warming engine's budget no more than
-that part is used (`slow_start.BUDGET_FRACTION`). With N members and parts of m1, m2, ... that each count
-all others dead, the sum of their shares is
-m1 / max(m1, N / 2) + m2 / max(m2, N / 2) + ... <= N / (N / 2) = 2, and 2 x 0.5 = 1 of what they bear.
+"""Estimate of the number of live front ends, by which each front end divides limits for its share. No I/O.
+
+A dead front end can't be distinguished from one on the other side of a network partition. The sum of all
+shares must not exceed the capacity of the engines in any partition, so two rules apply:
+
+- A front end never counts fewer than MIN_COUNTED_FRACTION of the members that have not left.
+- At most that fraction of a warming engine's budget is divided into shares (`slow_start.BUDGET_FRACTION`).
+
+With N members in partitions of m1, m2, ... members, each of which counts all others as dead, the sum of the
+shares is m1 / max(m1, N / 2) + m2 / max(m2, N / 2) + ... <= N / (N / 2) = 2, and 2 x 0.5 = 1 times the
+capacity.
 """
 
 from __future__ import annotations
@@ -14,23 +17,23 @@
 from collections.abc import Iterable
 from itertools import accumulate
 
-MIN_COUNTED_FRACTION = 0.5  # of all members; not below slow_start.BUDGET_FRACTION
-GROWTH_HALF_LIFE_S = 5.0  # in which the count falls by half at most: shares grow slowly and shrink at once
-MAX_LIAR_FRACTION = 0.2  # of those that report their counts; the highest of them are left out
-ROUNDING = 1e-9
+MIN_COUNTED_FRACTION = 0.5  # minimum fraction of members counted; must be >= slow_start.BUDGET_FRACTION
+GROWTH_HALF_LIFE_S = 5.0  # half-life of the count when it falls: shares grow slowly, but shrink at once
+MAX_FAULTY_FRACTION = 0.2  # fraction of the reported estimates, the highest ones, that is ignored
+ROUNDING_TOLERANCE = 1e-9
 
 
 class FleetSize:
-    """The count at front end `gateway_index` of `gateway_count`; without any update all are counted.
+    """The fleet size as front end `gateway_index` of `gateway_count` counts it; initially all are counted.
 
     Attributes:
-        gateway_count: Front ends by the settings.
-        gateway_index: This one's number.
-        adjusts_turns: Whether shares and turns on warming engines use the count.
-        adjusts_thread_limit: Whether the limit on threads at all engines does.
-        adjusts_quotas: Whether tenants' quotas do.
-        smoothed_count: The count in use, before it is rounded up.
-        own_estimate: What the count would be by this front end's own view alone.
+        gateway_count: Number of front ends in the settings.
+        gateway_index: Number of this front end, from 0.
+        adjusts_turns: Whether shares and turns on warming engines use the count of live front ends.
+        adjusts_thread_limit: Whether the limit on threads at all engines uses it.
+        adjusts_quotas: Whether the quotas of tenants use it.
+        smoothed_count: The count in use before it is rounded up.
+        own_estimate: The estimate from this front end's own view, which is reported to other members.
     """
 
     def __init__(self, gateway_count: int, gateway_index: int) -> None:
@@ -42,26 +45,26 @@
         self.smoothed_count = float(self.gateway_count)
         self.own_estimate = self.gateway_count
         self._updated_at = -math.inf
-        self._failed_before = [0] * (self.gateway_count + 1)  # members before each that are dead or left
+        self._failed_before = [0] * (self.gateway_count + 1)  # index n: dead or left members below n
 
     @property
     def count(self) -> int:
-        """What a share would be divided by."""
-        return math.ceil(self.smoothed_count - ROUNDING)
+        """The smoothed count, rounded up."""
+        return math.ceil(self.smoothed_count - ROUNDING_TOLERANCE)
 
     @property
     def turn_divisor(self) -> int:
-        """What shares and turns on warming engines are divided by."""
+        """Divisor of shares and turns on warming engines."""
         return self.count if self.adjusts_turns else self.gateway_count
 
     @property
     def thread_limit_divisor(self) -> int:
-        """What the limit on threads at all engines is divided by."""
+        """Divisor of the limit on threads at all engines."""
         return self.count if self.adjusts_thread_limit else self.gateway_count
 
     @property
     def quota_divisor(self) -> int:
-        """What tenants' quotas are divided by."""
+        """Divisor of the quotas of tenants."""
         return self.count if self.adjusts_quotas else self.gateway_count
 
     def update(
@@ -72,14 +75,14 @@
         reported: Iterable[int] = (),
         is_connected: bool = True,
     ) -> None:
-        """Count anew.
+        """Update the count from the membership view and the estimates of other members.
 
         Args:
-            now: In seconds.
-            failed: Of each member, whether it is held dead or has left.
-            left: How many of them have said that they leave.
-            reported: The estimates of others.
-            is_connected: False while this front end may be cut off itself.
+            now: Time in seconds.
+            failed: Whether the member is dead or has left, for each member.
+            left: Number of members that have left.
+            reported: The estimates that other members reported.
+            is_connected: False while this front end may be isolated itself.
         """
         self._count_failed(failed)
         remaining = max(1, self.gateway_count - min(left, self.gateway_count))
@@ -102,28 +105,30 @@
         return max(live, math.ceil(MIN_COUNTED_FRACTION * remaining), 1)
 
     def _agreed_estimate(self, reported: Iterable[int], remaining: int) -> int:
-        """The higher of the own estimate and the others', without the highest of theirs.
+        """The maximum of the own and the reported estimates, without the highest reported ones.
 
-        A few that lie, or know less, must not hold the count up for good.
+        MAX_FAULTY_FRACTION of the reported estimates is ignored, so that a few faulty or outdated members
+        can't keep the count high forever.
         """
         estimates = sorted(min(estimate, remaining) for estimate in reported)
         if not estimates:
             return self.own_estimate
-        ignored = int(MAX_LIAR_FRACTION * len(estimates))
+        ignored = int(MAX_FAULTY_FRACTION * len(estimates))
         return max(self.own_estimate, estimates[len(estimates) - ignored - 1])
 
     def turn_of_gateway(self, start: int) -> int:
-        """This front end's turn, from 0, in the order that begins with number -`start`.
+        """Position of this front end, from 0, in the order of turns that starts at front end -`start`.
 
-        The places of those that failed go to those behind them, as far as the count in use goes, and to no
-        more than twice as many as there are turns, whatever the views are.
+        Failed front ends before this one are skipped, at most as many as the count in use leaves out. The
+        position is at least MIN_COUNTED_FRACTION of the unadjusted one, so at most 2 * n front ends have one
+        of the first n positions, whatever their views are.
         """
-        place = (self.gateway_index + start) % self.gateway_count
-        if not self.adjusts_turns or place == 0:
-            return place
-        first = (self.gateway_index - place) % self.gateway_count
+        position = (self.gateway_index + start) % self.gateway_count
+        if not self.adjusts_turns or position == 0:
+            return position
+        first = (self.gateway_index - position) % self.gateway_count
         failed = self._failed_before[self.gateway_index] - self._failed_before[first]
         if first > self.gateway_index:
             failed += self._failed_before[-1]
         failed = min(failed, self.gateway_count - self.count)
-        return max(place - failed, int(MIN_COUNTED_FRACTION * place))
+        return max(position - failed, int(MIN_COUNTED_FRACTION * position))
--- a/lilacfront/membership/gossip_queue.py
+++ b/lilacfront/membership/gossip_queue.py
@@ -1,7 +1,7 @@
-"""Members whose updates are still to be disseminated, and how often each was sent. No I/O.
+"""Queue of members whose updates are gossiped, with the number of transmissions of each. No I/O.
 
-As in memberlist's queue of broadcasts, an update is sent a number of times that grows with the logarithm of
-the number of members; the updates that were sent least go first.
+As in memberlist's transmit-limited queue, the number of transmissions of an update grows with the logarithm
+of the number of members, and the updates with the fewest transmissions are sent first.
 """
 
 from __future__ import annotations
@@ -9,13 +9,17 @@
 import math
 from collections.abc import Iterable
 
-RETRANSMIT_MULTIPLIER = 1.5  # times log2 of the members: how often an update is sent
-FIRST_SEEN_TRANSMISSIONS = 3  # of a member that nothing was known of
-DEAD_TRANSMISSIONS = 3  # of a suspicion that has run out
+RETRANSMIT_MULTIPLIER = 1.5  # an update is sent about this many times log2 of the number of members
+FIRST_SEEN_TRANSMISSIONS = 3  # number of transmissions of the first update of a member
+DEAD_TRANSMISSIONS = 3  # number of transmissions after a suspicion has expired
 
 
 class GossipQueue:
-    """Members whose updates wait to be sent, with the number of their transmissions so far."""
+    """Members whose updates are to be gossiped.
+
+    Attributes:
+        transmit_limit: Number of transmissions after which an update leaves the queue.
+    """
 
     def __init__(self, member_count: int) -> None:
         self.transmit_limit = int(RETRANSMIT_MULTIPLIER * math.log2(member_count + 1)) + 1
@@ -25,34 +29,36 @@
         return len(self._transmissions)
 
     def enqueue(self, member: int) -> None:
-        """Disseminate what is held of a member, from the start."""
+        """Queue the current update of a member for the full number of transmissions."""
         self._transmissions[member] = 0
 
     def enqueue_first_seen(self, member: int) -> None:
-        """Disseminate the first update of a member.
+        """Queue the first update of a member, for fewer transmissions.
 
-        After a start all members are new to all; sent as often as others, these would use up the rate.
+        After the start of a tier the updates of all members are first updates, and the full number of
+        transmissions would use up the rate limit.
         """
         self._transmissions[member] = max(0, self.transmit_limit - FIRST_SEEN_TRANSMISSIONS)
 
     def enqueue_dead(self, member: int) -> None:
-        """Disseminate that a suspicion has run out.
+        """Queue the update of a member whose suspicion has expired, for at least a few transmissions.
 
-        Members that know of the suspicion find out by their own timers; a few transmissions are for others.
+        Members that know of the suspicion declare the member dead by their own timers, so these transmissions
+        are only for the others.
         """
-        sent = self._transmissions.get(member, self.transmit_limit)
-        self._transmissions[member] = min(sent, max(0, self.transmit_limit - DEAD_TRANSMISSIONS))
+        transmissions = self._transmissions.get(member, self.transmit_limit)
+        self._transmissions[member] = min(transmissions, max(0, self.transmit_limit - DEAD_TRANSMISSIONS))
 
     def count_transmission(self, member: int) -> None:
-        """The update of a member went out once more; after enough times it leaves the queue."""
+        """Count one transmission of a member's update, and drop it at the transmit limit."""
         self._transmissions[member] += 1
         if self._transmissions[member] >= self.transmit_limit:
             del self._transmissions[member]
 
     def members(self) -> Iterable[int]:
-        """The members in the order in which they were first queued."""
+        """The queued members in the order in which they were first queued."""
         return self._transmissions
 
     def members_by_transmissions(self) -> list[int]:
-        """The members, those first whose updates were sent least."""
+        """The queued members, those with the fewest transmissions first."""
         return sorted(self._transmissions, key=self._transmissions.__getitem__)
--- a/lilacfront/membership/incarnation.py
+++ b/lilacfront/membership/incarnation.py
@@ -1,33 +1,35 @@
-"""The incarnation of this front end: raised to refute, and counted messages within it. No I/O."""
+"""The incarnation number of this front end, and the sequence number of its messages. No I/O."""
 
 from __future__ import annotations
 
 MAX_INCARNATION = 0xFFFFFFFF
-MAX_FIRST_INCARNATION = MAX_INCARNATION >> 1  # leaves as many for refutations
+MAX_FIRST_INCARNATION = MAX_INCARNATION >> 1  # the upper half of the range is left for refutations
 MAX_SEQUENCE = 0xFFFFFFFF
 
 
 class OwnIncarnation:
-    """The incarnation, at first the second of the start, and the sequence of messages within it.
+    """The incarnation of this front end and the sequence number of its messages within it.
+
+    The first incarnation is the wall clock time of the start in seconds.
 
     Attributes:
         value: The incarnation.
-        accused: The highest incarnation in which something was said that has to be refuted; 0: none.
+        accused_incarnation: Highest incarnation in a received update that has to be refuted; 0 if none.
     """
 
     def __init__(self, wall_s: float) -> None:
         self.value = max(1, min(MAX_FIRST_INCARNATION, int(wall_s)))
-        self.accused = 0
+        self.accused_incarnation = 0
         self._sequence = 0
 
     def advance_to(self, incarnation: int) -> None:
-        """Begin a new incarnation."""
+        """Set a new incarnation, and restart the sequence numbers."""
         self.value = incarnation
         self._sequence = 0
 
-    def may_restore(self, least: int) -> bool:
-        """Whether a stored incarnation of an earlier process is ahead of this one, and usable."""
-        return self.value < least < MAX_FIRST_INCARNATION
+    def may_restore(self, minimum: int) -> bool:
+        """Whether `minimum`, derived from an earlier process, is above this incarnation and in range."""
+        return self.value < minimum < MAX_FIRST_INCARNATION
 
     def next_sequence(self) -> int:
         """The sequence number of the next message."""
--- a/lilacfront/membership/integration.py
+++ b/lilacfront/membership/integration.py
@@ -1,7 +1,7 @@
-"""Brings what the membership finds to the decisions: the size of the fleet and reports of outliers. No I/O.
+"""Passes the fleet size and outlier reports from the membership to the routing decisions. No I/O.
 
-It piggybacks on the detector's messages: each carries the fleet size that its sender's view calls for, and
-the engines that the sender can't use.
+The failure detector's messages carry both as piggybacked items: the fleet size that the sender estimates, and
+the engines that it can't use.
 """
 
 from __future__ import annotations
@@ -19,28 +19,28 @@
 from lilacfront.membership.piggyback import Piggyback
 from lilacfront.membership.settings import MembershipUses
 
-REPORT_LIFETIME_S = 3.0  # for which the count that another member reports is used
-REFRESH_INTERVAL_S = 0.25
+REPORT_LIFETIME_S = 3.0  # time after a member's last message for which its reported fleet size is used
+REFRESH_INTERVAL_S = 0.25  # minimum time between two updates of the decisions
 MAX_REPORTED_COUNT = 0xFFFF
 
 
 class IntegrationListener(Protocol):
-    """Is notified when what the decisions use has changed."""
+    """Is notified when the fleet size or the outliers change."""
 
     def on_decisions_change(self, fleet_size: int, outliers: frozenset[int]) -> None:
-        """The count in use, or the engines that are believed to be outliers, have changed."""
+        """Called when the fleet size in use or the set of outliers has changed."""
         ...
 
 
 class MembershipIntegration:
-    """One front end's side; a Piggyback of its detector.
+    """Exchanges fleet sizes and outlier reports; a Piggyback of the failure detector.
 
     Attributes:
-        fleet_size: The count that the decisions use.
-        outlier_gossip: The reports that the decisions use.
-        matches_fleet: Whether the settings and the peers agree on the number of front ends.
-        adjusts_shares: Whether any share is divided by the count of live front ends.
-        next_piggyback: What else travels in the messages.
+        fleet_size: The fleet size that the decisions use.
+        outlier_gossip: The outliers that the decisions use.
+        matches_fleet: Whether the policy settings and the list of peers have the same number of front ends.
+        adjusts_shares: Whether the settings divide any share by the number of live front ends.
+        next_piggyback: Piggyback that gets the remaining bytes and the other items; None if there is none.
     """
 
     def __init__(
@@ -56,32 +56,32 @@
         self.next_piggyback: Piggyback | None = None
         self._detector = detector
         self._listener = listener
-        # Where the settings and the peers differ in number, shares would not add up.
+        # If the settings and the peers differ in number, the shares would not add up to the whole.
         self.matches_fleet = fleet_size.gateway_count == detector.member_count
         fleet_size.adjusts_turns = uses.turns and self.matches_fleet
         fleet_size.adjusts_thread_limit = uses.thread_limit and self.matches_fleet
         fleet_size.adjusts_quotas = uses.quotas and self.matches_fleet
         outlier_gossip.enabled = uses.outliers
         self.adjusts_shares = uses.turns or uses.thread_limit or uses.quotas
-        self._reported_counts = array("L", [0]) * detector.member_count  # by member; 0: none
+        self._reported_counts = array("L", [0]) * detector.member_count  # by member; 0 if it reported none
         self._refreshed_at = -REFRESH_INTERVAL_S
         self._notified = (fleet_size.count, frozenset[int]())
         detector.set_piggyback(self)
 
     # ---- messages -----------------------------------------------------------------------------
-    def collect(self, now: float, room: int) -> Iterator[Item]:
-        """The items to send along; see Piggyback."""
-        if self.adjusts_shares and room >= ITEM_HEADER_BYTES + FLEET_SIZE_REPORT.size:
-            room -= ITEM_HEADER_BYTES + FLEET_SIZE_REPORT.size
+    def collect(self, now: float, max_bytes: int) -> Iterator[Item]:
+        """The items for one message; see Piggyback."""
+        if self.adjusts_shares and max_bytes >= ITEM_HEADER_BYTES + FLEET_SIZE_REPORT.size:
+            max_bytes -= ITEM_HEADER_BYTES + FLEET_SIZE_REPORT.size
             yield FleetSizeReport(min(self.fleet_size.own_estimate, MAX_REPORTED_COUNT))
         if self.outlier_gossip.enabled:
-            max_entries = min(outliers.MAX_ENTRIES, (room - ITEM_HEADER_BYTES) // OUTLIER_ENTRY.size)
+            max_entries = min(outliers.MAX_ENTRIES, (max_bytes - ITEM_HEADER_BYTES) // OUTLIER_ENTRY.size)
             entries = self._outlier_entries(now, max_entries)
             if entries:
-                room -= ITEM_HEADER_BYTES + OUTLIER_ENTRY.size * len(entries)
+                max_bytes -= ITEM_HEADER_BYTES + OUTLIER_ENTRY.size * len(entries)
                 yield OutlierReport(entries)
         if self.next_piggyback is not None:
-            yield from self.next_piggyback.collect(now, room)
+            yield from self.next_piggyback.collect(now, max_bytes)
 
     def _outlier_entries(self, now: float, max_entries: int) -> tuple[outliers.Entry, ...]:
         if max_entries <= 0:
@@ -89,7 +89,7 @@
         return self.outlier_gossip.entries_to_send(int(now * 1e6), max_entries)
 
     def receive(self, now: float, sender: int, item: PiggybackItem) -> Iterable[Item]:
-        """Accept an item of another member; see Piggyback."""
+        """Handle an item of another member; see Piggyback."""
         match item:
             case FleetSizeReport(count):
                 self._reported_counts[sender] = count
@@ -101,7 +101,7 @@
 
     # ---- decisions ----------------------------------------------------------------------------
     def refresh(self, now: float) -> None:
-        """Bring the decisions up to date; called often, it does something every REFRESH_INTERVAL_S."""
+        """Update the fleet size and the outliers, at most once every REFRESH_INTERVAL_S."""
         if now - self._refreshed_at < REFRESH_INTERVAL_S:
             return
         self._refreshed_at = now
--- a/lilacfront/membership/messages.py
+++ b/lilacfront/membership/messages.py
@@ -1,6 +1,6 @@
-"""What a datagram between front ends can say: the message and the kinds of its items. No I/O.
+"""Messages between front ends, and the kinds of items in them. No I/O.
 
-Members are numbered from 0 in the order of the configuration; the form on the wire is `codec`'s.
+Members are numbered from 0 in the order of the configuration. `codec` defines the wire format.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-BITMAP_BLOCK_MEMBERS = 16  # members that one block of a bitmap covers
+BITMAP_BLOCK_MEMBERS = 16  # number of members that one block of a bitmap covers
 
 
 class MemberState(IntEnum):
@@ -21,12 +21,12 @@
     LEFT = 3
 
 
-STATES = tuple(MemberState)  # by their numbers; faster than a call of MemberState
+STATES = tuple(MemberState)  # indexed by number, which is faster than MemberState(number)
 
 
 @dataclass(slots=True, frozen=True)
 class MemberUpdate:
-    """The sender holds `member` to be in this state and incarnation."""
+    """State and incarnation of `member` according to the sender."""
 
     member: int
     incarnation: int
@@ -38,9 +38,9 @@
     """An update of a suspect, dead or left member in three bytes.
 
     Attributes:
-        member: The number of the member.
-        low_bits: The last six bits of its incarnation.
-        state: The state that the sender holds it in.
+        member: Number of the member.
+        low_bits: The lowest six bits of the member's incarnation.
+        state: State of the member according to the sender.
     """
 
     member: int
@@ -50,20 +50,20 @@
 
 @dataclass(slots=True, frozen=True)
 class BitmapBlock:
-    """Members of one state among sixteen of them.
+    """The members of one state among sixteen consecutive members.
 
     Attributes:
-        index: The block covers the sixteen members from 16 * `index` on.
-        bits: A bit for each member in the state, the lowest first.
-        check: Sum of the incarnations that are meant, modulo 256.
+        index: Number of the block, whose first member is 16 * `index`.
+        bits: Bit n is set if the n-th member of the block is in the state.
+        checksum: Sum of the incarnations of the members whose bits are set, modulo 256.
     """
 
     index: int
     bits: int
-    check: int
+    checksum: int
 
     def members(self) -> Iterator[int]:
-        """The numbers of the members whose bits are set."""
+        """Numbers of the members whose bits are set."""
         first, bits = BITMAP_BLOCK_MEMBERS * self.index, self.bits
         while bits:
             yield first + (bits & -bits).bit_length() - 1
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberBitmap:
-    """Members that the sender holds in one state, four bytes for up to sixteen of them."""
+    """The members in one state according to the sender, in blocks of four bytes for sixteen members."""
 
     state: MemberState
     blocks: tuple[BitmapBlock, ...]
@@ -80,11 +80,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Ping:
-    """A probe: answer with an Ack.
+    """A ping, which the receiver answers with an Ack.
 
     Attributes:
-        sequence: Repeated by the ack.
-        requester: On whose behalf it is sent: the sender itself, or who asked it for an indirect probe.
+        sequence: Sequence number, which the ack repeats.
+        requester: The member whose probe it is: the sender, or the member that sent it a PingRequest.
     """
 
     sequence: int
@@ -93,7 +93,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Ack:
-    """The answer to a ping; `responder` is the member that answered it."""
+    """Acknowledges a ping.
+
+    Attributes:
+        sequence: Sequence number of the ping.
+        responder: The member that was pinged, also if another member forwards the ack.
+    """
 
     sequence: int
     responder: int
@@ -101,7 +106,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PingRequest:
-    """An indirect probe (SWIM's ping-req): ping `target` for the sender, whose own ping had no answer."""
+    """SWIM's ping-req: asks the receiver to ping `target`, which did not acknowledge the sender's ping."""
 
     sequence: int
     target: int
@@ -109,41 +114,45 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReports:
-    """Load reports of engines, as `load_gossip` has them behind its first byte."""
+    """Load reports of engines, in the format of `load_gossip` without its first byte."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class OutlierReport:
-    """Engines that the sender can't use: the last 32 bits of each number, the reason, the age in 0.1 s."""
+    """Engines that the sender can't use.
+
+    Attributes:
+        engines: For each engine the last 32 bits of its number, the reason and the age in units of 0.1 s.
+    """
 
     engines: tuple[tuple[int, int, int], ...]
 
 
 @dataclass(slots=True, frozen=True)
 class FleetSizeReport:
-    """How many front ends the sender's own view says there are to share with."""
+    """Number of front ends that share the engines, as the sender estimates it from its own view."""
 
     count: int
 
 
 class StateKind(IntEnum):
-    """Kind of the recovery state that is transferred in chunks."""
+    """Kind of recovery state that is transferred in chunks."""
 
-    OPERATOR_ORDERS = 1  # what operators ordered of its sender
-    REPLICA = 2  # what the sender keeps of its addressee's orders
-    ENDPOINT_LIST = 3  # the sender's endpoint list: its number, and the engines that are ready
+    OPERATOR_DIRECTIVES = 1  # the directives of operators to the sender
+    REPLICA = 2  # the sender's copy of the receiver's directives
+    ENDPOINT_LIST = 3  # the sequence number of the sender's endpoint list, and the ready engines in it
 
 
 @dataclass(slots=True, frozen=True)
 class StateDigest:
-    """The sender's stage of recovery, the number of its endpoint list, and the state it offers.
+    """Summary of the sender's recovery state, which members compare to find differences.
 
     Attributes:
-        stage: Stage of recovery.
-        seq: Number of the endpoint list.
-        offers: Kind, CRC-32 and length of each.
+        stage: The sender's stage of recovery.
+        seq: Sequence number of the sender's endpoint list.
+        offers: Kind, CRC-32 and length in bytes of each state that the sender offers.
     """
 
     stage: int
@@ -153,19 +162,32 @@
 
 @dataclass(slots=True, frozen=True)
 class ChunkRequest:
-    """Send the chunk from `offset` on of the state with this CRC-32."""
+    """Requests a chunk of a state.
+
+    Attributes:
+        kind: Kind of the state.
+        checksum: CRC-32 of the whole state.
+        offset: Position of the first requested byte.
+    """
 
     kind: int
-    check: int
+    checksum: int
     offset: int
 
 
 @dataclass(slots=True, frozen=True)
 class StateChunk:
-    """A chunk of the state with this CRC-32."""
+    """A chunk of a state.
+
+    Attributes:
+        kind: Kind of the state.
+        checksum: CRC-32 of the whole state.
+        offset: Position of the first byte of the chunk.
+        data: The bytes of the chunk.
+    """
 
     kind: int
-    check: int
+    checksum: int
     offset: int
     data: bytes
 
@@ -177,15 +199,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One datagram.
+    """A message, which is sent as one datagram.
 
     Attributes:
-        sender: The number of the sending member.
-        incarnation: Its incarnation, at first the second in which it started.
-        sequence: Counts its messages within the incarnation.
-        sent_at_s: Its wall clock in seconds; with `sequence` it bounds a replay.
-        items: What it says.
-        key_id: The number of the key of the tag that fits; None without keys.
+        sender: Number of the sending member.
+        incarnation: Incarnation of the sender, initially its start time in seconds.
+        sequence: Sequence number of the message within the incarnation.
+        sent_at_s: Wall clock time of the sender in seconds; with `sequence` it prevents replays.
+        items: The items of the message.
+        key_id: Number of the key that the tag was verified with; None without keys.
     """
 
     sender: int
--- a/lilacfront/membership/piggyback.py
+++ b/lilacfront/membership/piggyback.py
@@ -1,4 +1,4 @@
-"""What other parts of the program send in the messages of the failure detector, beside its own items."""
+"""Interface for items of other components that the failure detector's messages carry."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Piggyback(Protocol):
-    """A source and receiver of items that travel in the detector's messages."""
+    """A source and receiver of items in the failure detector's messages."""
 
-    def collect(self, now: float, room: int) -> Iterable[Item]:
-        """Items for one message, `room` bytes at most, their headers included."""
+    def collect(self, now: float, max_bytes: int) -> Iterable[Item]:
+        """Items for one message, of at most `max_bytes` in total including their headers."""
         ...
 
     def receive(self, now: float, sender: int, item: PiggybackItem) -> Iterable[Item]:
-        """Accept an item of another member; returns what is to be answered at once."""
+        """Handle an item of another member; returns the items to answer with."""
         ...
--- a/lilacfront/membership/reception.py
+++ b/lilacfront/membership/reception.py
@@ -1,4 +1,4 @@
-"""Checks the datagrams that come and dispatches their items. No I/O."""
+"""Validates received datagrams and dispatches their items. No I/O."""
 
 from __future__ import annotations
 
@@ -32,49 +32,49 @@
 from lilacfront.membership.update_packing import Gossip, UpdatePacker
 from lilacfront.membership.update_rules import UpdateRules
 
-MAX_MESSAGE_AGE_S = 30  # of a message with a tag, by the sender's clock and this one
-MAX_CORRECTIONS = 16  # updates sent at once to the sender of an outdated bitmap
-MIN_CORRECTION_INTERVAL_S = 0.2  # between two times that a member is sent what is held of it
+MAX_MESSAGE_AGE_S = 30  # maximum difference of the wall clocks plus delay, for tagged messages
+MAX_CORRECTIONS = 16  # maximum number of updates in the answer to an outdated bitmap
+MIN_CORRECTION_INTERVAL_S = 0.2  # minimum time between two corrections to the same member
 
-Handler = Callable[[float, int, Any], list[OutgoingDatagram]]  # time, sender, item
+Handler = Callable[[float, int, Any], list[OutgoingDatagram]]  # (time, sender, item)
 
 
 class MessageChecker:
-    """Decides whether a datagram is a message of the member from whose address it came."""
+    """Decodes and validates datagrams: source address, age and replay."""
 
     def __init__(self, node: LocalNode, rejections: RejectionCounter) -> None:
         self._node = node
         self._rejections = rejections
         self._replay_windows: dict[int, ReplayWindow] = {}
 
-    def check(self, place: int, data: bytes, keys: dict[int, bytes]) -> Message | None:
-        """The message of a datagram from the address of member `place`; None if it is rejected."""
+    def check(self, source: int, data: bytes, keys: dict[int, bytes]) -> Message | None:
+        """Decode a datagram from the address of member `source`; None if it is rejected."""
         try:
             message = decode(data, keys)
         except CodecError as problem:
             self._rejections.count(str(problem))
             return None
-        reason = self._rejection_reason(place, message, has_keys=bool(keys))
+        reason = self._rejection_reason(source, message, has_keys=bool(keys))
         if reason is None:
             return message
         self._rejections.count(reason)
         return None
 
-    def _rejection_reason(self, place: int, message: Message, has_keys: bool) -> str | None:
-        if message.sender != place or place == self._node.own or place >= self._node.member_count:
+    def _rejection_reason(self, source: int, message: Message, has_keys: bool) -> str | None:
+        if message.sender != source or source == self._node.own_member or source >= self._node.member_count:
             return "another member's address"
         if has_keys and abs(self._node.wall_s() - message.sent_at_s) > MAX_MESSAGE_AGE_S:
-            return "too old"
-        window = self._replay_windows.get(place)
+            return "sent too long ago"
+        window = self._replay_windows.get(source)
         if window is None:
-            window = self._replay_windows[place] = ReplayWindow()
+            window = self._replay_windows[source] = ReplayWindow()
         if not window.accept(message.incarnation, message.sequence):
             return "came before"
         return None
 
 
 class ItemDispatcher:
-    """Hands each item of a message to the part that it is for."""
+    """Calls the handler for each item of a message."""
 
     def __init__(
         self,
@@ -104,25 +104,29 @@
             StateChunk: self._on_piggyback,
         }
 
-    def note_sender(self, now: float, message: Message) -> None:
-        """The sender of a message is alive in its incarnation."""
+    def record_sender(self, now: float, message: Message) -> None:
+        """Apply that the sender of a message is alive in the incarnation of the header."""
         member = message.sender
-        before = self._node.view.states[member]
+        previous_state = self._node.view.states[member]
         self._rules.accept(MemberUpdate(member, message.incarnation, MemberState.ALIVE), member, now)
-        if before > MemberState.SUSPECT and not self._node.is_dead_or_left(member):
+        if previous_state > MemberState.SUSPECT and not self._node.is_dead_or_left(member):
             self._requeue_dead()
 
     def _requeue_dead(self) -> None:
-        """Two halves have found each other: what each holds dead of the other is disseminated anew."""
+        """Send gossip of all dead members again, so that the live ones among them can refute.
+
+        A message of a dead or left member may be the first after a partition, whose other side was declared
+        dead as a whole.
+        """
         for member in range(self._node.member_count):
             if self._node.view.states[member] == MemberState.DEAD:
                 self._queue.enqueue(member)
 
     def dispatch(self, now: float, message: Message) -> list[OutgoingDatagram]:
-        """Handle all items; returns what is sent for them at once."""
+        """Handle all items of a message; returns the datagrams that answer them."""
         sends: list[OutgoingDatagram] = []
         for item in message.items:
-            # What is known already, as nearly all updates are, costs nothing more.
+            # Most updates are known already; skipping them here saves the call of the handler.
             if type(item) is MemberUpdate and self._is_known_alive(item):
                 continue
             handler = self._handlers.get(type(item))
@@ -131,14 +135,14 @@
         return sends
 
     def send_correction(self, now: float, member: int) -> list[OutgoingDatagram]:
-        """A member sends messages, so it is alive: sent what is held of it, it can refute."""
+        """Send a member its suspect, dead or left state after it sent a message, so that it can refute."""
         if self._node.view.states[member] == MemberState.ALIVE or not self._may_correct(now, member):
             return []
         return self._sender.send(now, member)
 
     def send_item(self, now: float, peer: int, item: Item) -> list[OutgoingDatagram]:
-        """Send one item of a piggyback to a member, where the rate has room to spare."""
-        if self._node.has_left or peer == self._node.own:
+        """Send one item of the piggyback to a member, unless the rate limit is nearly reached."""
+        if self._node.has_left or peer == self._node.own_member:
             return []
         return self._sender.send(now, peer, item, gossip=Gossip.ADDRESSEE_ONLY, low_priority=True)
 
@@ -146,7 +150,7 @@
         member = update.member
         if update.state is not MemberState.ALIVE or member >= self._node.member_count:
             return False
-        return update.incarnation <= self._node.view.incarnations[member] and member != self._node.own
+        return update.incarnation <= self._node.view.incarnations[member] and member != self._node.own_member
 
     def _may_correct(self, now: float, member: int) -> bool:
         return now - self._packer.state_sent_at[member] >= MIN_CORRECTION_INTERVAL_S
@@ -160,7 +164,7 @@
         return []
 
     def _on_bitmap(self, now: float, sender: int, bitmap: MemberBitmap) -> list[OutgoingDatagram]:
-        """Apply a bitmap, and correct its sender where it is outdated."""
+        """Apply a bitmap, and send current updates for its outdated blocks to its sender."""
         if bitmap.state is MemberState.ALIVE:
             return []
         outdated = self._rules.accept_bitmap(bitmap, sender, now)[:MAX_CORRECTIONS]
--- a/lilacfront/membership/refutation.py
+++ b/lilacfront/membership/refutation.py
@@ -1,4 +1,4 @@
-"""How this front end refutes what others say of it: by a new incarnation, sent to some at once. No I/O."""
+"""Refutation of suspicions about this front end, by a new incarnation that is sent at once. No I/O."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from lilacfront.membership.sender import DatagramSender, OutgoingDatagram
 from lilacfront.membership.update_packing import Gossip
 
-REFUTE_FANOUT = 24  # members that are sent a refutation at once, each in a message without gossip
-MIN_REFUTE_INTERVAL_S = 1.0  # between two times that so many are
+REFUTE_FANOUT = 24  # number of members that receive a refutation directly, in messages without gossip
+MIN_REFUTE_INTERVAL_S = 1.0  # minimum time between two such fanouts
 
 
 class Refuter:
-    """Begins incarnations of this front end and makes them known."""
+    """Starts new incarnations of this front end and sends them to other members."""
 
     def __init__(
         self,
@@ -35,21 +35,22 @@
         self._last_fanout_at = -math.inf
 
     def begin(self, incarnation: int, now: float, reason: str) -> None:
-        """Be alive in this incarnation from now on."""
+        """Start an incarnation, in which this front end is alive."""
         self._incarnation.advance_to(incarnation)
-        update = MemberUpdate(self._node.own, incarnation, MemberState.ALIVE)
+        update = MemberUpdate(self._node.own_member, incarnation, MemberState.ALIVE)
         self._node.view.apply(update, now, reason)
 
     def refute(
         self, now: float, incarnation: int, reason: str, accuser: int = NO_MEMBER
     ) -> list[OutgoingDatagram]:
-        """Begin an incarnation past this one, and send it to the accuser and to some others at once.
+        """Start the incarnation after this one, and send it to the accuser and to REFUTE_FANOUT members.
 
-        The header of a message says it, so these are short and are sent though the rate is nearly used up. A
-        liar could have this front end use up its rate, so there is a least time between two fanouts.
+        The header of a message carries the incarnation, so these messages are short and fit when the rate
+        limit is nearly reached. False accusations by a faulty member could still use up the rate limit, so
+        there is a minimum interval between two fanouts; in between only the accuser receives the refutation.
         """
         self.begin(incarnation + 1, now, reason)
-        self._queue.enqueue(self._node.own)
+        self._queue.enqueue(self._node.own_member)
         peers = [accuser] if accuser != NO_MEMBER else []
         if now - self._last_fanout_at >= MIN_REFUTE_INTERVAL_S:
             self._last_fanout_at = now
@@ -61,10 +62,10 @@
         return sends
 
     def refute_if_accused(self, now: float, accuser: int) -> list[OutgoingDatagram]:
-        """Refute what the message that was just read says of this front end, if it has to be."""
-        accused = self._incarnation.accused
-        if not accused:
+        """Refute if the message that was just read accuses this front end."""
+        accused_incarnation = self._incarnation.accused_incarnation
+        if not accused_incarnation:
             return []
-        sends = self.refute(now, accused, "refuted", accuser)
-        self._incarnation.accused = 0
+        sends = self.refute(now, accused_incarnation, "refuted", accuser)
+        self._incarnation.accused_incarnation = 0
         return sends
--- a/lilacfront/membership/rejections.py
+++ b/lilacfront/membership/rejections.py
@@ -1,19 +1,23 @@
-"""Counts of messages that were rejected, by the reason that operators are shown."""
+"""Counts of rejected messages by reason, which the admin command PEERS shows."""
 
 from __future__ import annotations
 
 MAX_REASONS = 32
-NUMBERED_REASONS = ("version", "no key")  # shown by their number alone
+NUMBERED_REASONS = ("version", "no key")  # these reasons are counted under their number only
 
 
 class RejectionCounter:
-    """Messages that were rejected, by reason."""
+    """Number of rejected messages by reason.
+
+    Attributes:
+        counts: The numbers by reason, for at most MAX_REASONS reasons.
+    """
 
     def __init__(self) -> None:
         self.counts: dict[str, int] = {}
 
     def count(self, reason: str) -> None:
-        """One more message was rejected; reasons beyond MAX_REASONS are not counted."""
+        """Count a rejected message; new reasons beyond MAX_REASONS are not counted."""
         if reason.startswith(NUMBERED_REASONS):
             reason = reason.split(" ")[-1]
         if reason in self.counts or len(self.counts) < MAX_REASONS:
--- a/lilacfront/membership/replay_window.py
+++ b/lilacfront/membership/replay_window.py
@@ -1,23 +1,23 @@
-"""Detection of replayed datagrams of one sender, by their sequence numbers. No I/O."""
+"""Anti-replay window for the messages of one sender, by their sequence numbers. No I/O."""
 
 from __future__ import annotations
 
-WINDOW = 64  # sequence numbers by which a message may be late
-WINDOW_MASK = (1 << WINDOW) - 1
+WINDOW_SIZE = 64  # messages this far or farther behind the highest sequence number are rejected
+WINDOW_MASK = (1 << WINDOW_SIZE) - 1
 
 
 class ReplayWindow:
-    """Which messages came of one sender, as far as a replay must be told from a late one."""
+    """Sliding window of the received sequence numbers, to distinguish late messages from replayed ones."""
 
     __slots__ = ("_highest", "_incarnation", "_received")
 
     def __init__(self) -> None:
         self._incarnation = -1
         self._highest = -1
-        self._received = 0  # bit n: the message n before the highest one came
+        self._received = 0  # bit n: sequence number _highest - n was received
 
     def accept(self, incarnation: int, sequence: int) -> bool:
-        """Record a message; returns whether it came for the first time."""
+        """Record a message; returns False if it is a replay or too late to tell."""
         if incarnation < self._incarnation:
             return False
         if incarnation > self._incarnation:
@@ -27,10 +27,10 @@
             return True
         ahead = sequence - self._highest
         if ahead > 0:
-            self._received = (self._received << min(ahead, WINDOW) | 1) & WINDOW_MASK
+            self._received = (self._received << min(ahead, WINDOW_SIZE) | 1) & WINDOW_MASK
             self._highest = sequence
             return True
-        if ahead <= -WINDOW or self._received >> -ahead & 1:
+        if ahead <= -WINDOW_SIZE or self._received >> -ahead & 1:
             return False
         self._received |= 1 << -ahead
         return True
--- a/lilacfront/membership/sender.py
+++ b/lilacfront/membership/sender.py
@@ -1,4 +1,4 @@
-"""Makes the datagrams of one front end, under its rate in bytes. No I/O."""
+"""Encodes the datagrams of one front end, within a rate limit in bytes per second. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     UPDATE,
     encode,
     item_size,
-    items_room,
+    max_items_bytes,
 )
 from lilacfront.membership.gossip_queue import GossipQueue
 from lilacfront.membership.incarnation import OwnIncarnation
@@ -21,22 +21,27 @@
 from lilacfront.membership.messages import Ack, Item, Message, Ping, PingRequest
 from lilacfront.membership.update_packing import Gossip, UpdatePacker
 
-IP_UDP_HEADER_BYTES = 28  # counted into the rate
-BURST_S = 2.0  # of the rate that may be saved up
-PROBE_RESERVE_FRACTION = 0.25  # of what may be saved up is kept for probes and acks
+IP_UDP_HEADER_BYTES = 28  # size of the IP and UDP headers, which count toward the rate limit
+BURST_S = 2.0  # capacity of the token bucket, in seconds of the rate
+PROBE_RESERVE_FRACTION = 0.25  # fraction of the capacity that is reserved for probes and acks
 PROBE_ITEM_BYTES = ITEM_HEADER_BYTES + PROBE.size
 MAX_SECONDS = 0xFFFFFFFF
 
 
 class OutgoingDatagram(NamedTuple):
-    """Bytes that are to be sent to a member."""
+    """A datagram to send to member `peer`."""
 
     peer: int
     data: bytes
 
 
 class TokenBucket:
-    """A rate in bytes, with as much saved up as it allows in BURST_S."""
+    """Token bucket with one token per byte and a capacity of BURST_S seconds of the rate.
+
+    Attributes:
+        reserve: Number of tokens that are reserved for probes and acks.
+        tokens: Number of available tokens.
+    """
 
     def __init__(self, bytes_per_s: int, now: float) -> None:
         self._rate = bytes_per_s
@@ -46,25 +51,26 @@
         self.tokens = self._capacity
 
     def refill(self, now: float) -> None:
-        """Add what has accrued."""
+        """Add the tokens for the time since the last refill."""
         self.tokens = min(self._capacity, self.tokens + self._rate * (now - self._refilled_at))
         self._refilled_at = now
 
     def skip(self, now: float) -> None:
-        """Add nothing for the time up to now."""
+        """Add no tokens for the time since the last refill."""
         self._refilled_at = now
 
     def spend(self, count: int) -> None:
-        """Use up so many bytes."""
+        """Remove the tokens for this number of bytes."""
         self.tokens -= count
 
 
 class DatagramSender:
-    """Encodes messages of this front end.
+    """Encodes the messages of this front end.
 
     Attributes:
-        sent_bytes: Of all datagrams so far, headers of IP and UDP included.
-        keys: By their numbers; the first tags what is sent.
+        bucket: The token bucket of the rate limit.
+        sent_bytes: Total size of all datagrams in bytes, including IP and UDP headers.
+        keys: Keys by their numbers; sent messages are tagged with the first one.
     """
 
     def __init__(
@@ -84,10 +90,10 @@
         self.set_keys({})
 
     def set_keys(self, keys: dict[int, bytes]) -> None:
-        """Tag with the first of these from now on; without keys nothing is tagged."""
+        """Set the keys: messages are tagged with the first one, or not tagged if there is none."""
         self.keys = keys
         self._key = next(iter(keys.items()), None)
-        self._room = items_room(tagged=bool(keys))
+        self._max_items_bytes = max_items_bytes(tagged=bool(keys))
         self._overhead = HEADER.size + (TAG_BYTES if keys else 0) + IP_UDP_HEADER_BYTES
 
     def send(
@@ -98,23 +104,24 @@
         gossip: Gossip = Gossip.QUEUED,
         low_priority: bool = False,
     ) -> list[OutgoingDatagram]:
-        """One message with these items and as much gossip as fits.
+        """A message with these items and as much gossip as fits; empty if the rate limit is reached.
 
-        Nothing is sent where the rate is used up; with `low_priority` it is not sent from the reserve either.
-        Probes and acks go before gossip: without them live members would be suspected, and to refute that
-        would take yet more gossip.
+        Messages with `low_priority` don't use the reserved tokens. Probes and acks have priority over gossip,
+        because without them live members would be suspected, and refutations would cause even more gossip.
         """
         self.bucket.refill(now)
-        items_bytes = sum(_size(item) for item in items)
+        items_bytes = sum(_item_size(item) for item in items)
         minimum = self._overhead + items_bytes
-        spare = self.bucket.tokens - minimum - self.bucket.reserve
-        # Many short messages would spend the rate on their headers.
-        worthwhile = min(self._room, ITEM_HEADER_BYTES + len(self._queue) * COMPACT_UPDATE.size)
-        if self.bucket.tokens < minimum or (low_priority and spare < worthwhile):
+        spare_bytes = self.bucket.tokens - minimum - self.bucket.reserve
+        # Many short messages would use up the rate limit with their headers.
+        min_gossip_bytes = min(
+            self._max_items_bytes, ITEM_HEADER_BYTES + len(self._queue) * COMPACT_UPDATE.size
+        )
+        if self.bucket.tokens < minimum or (low_priority and spare_bytes < min_gossip_bytes):
             return []
-        allowed = int(max(spare, ITEM_HEADER_BYTES + UPDATE.size))
-        gossip_room = min(self._room - items_bytes, allowed) - 2 * ITEM_HEADER_BYTES
-        updates = self._packer.pack(peer, gossip_room, now, gossip)
+        allowed_bytes = int(max(spare_bytes, ITEM_HEADER_BYTES + UPDATE.size))
+        max_gossip_bytes = min(self._max_items_bytes - items_bytes, allowed_bytes) - 2 * ITEM_HEADER_BYTES
+        updates = self._packer.pack(peer, max_gossip_bytes, now, gossip)
         if low_priority and not updates and not items:
             return []
         data = encode(self._message((*items, *updates)), self._key)
@@ -124,7 +131,7 @@
 
     def _message(self, items: tuple[Item, ...]) -> Message:
         return Message(
-            self._node.own,
+            self._node.own_member,
             self._incarnation.value,
             self._incarnation.next_sequence(),
             int(self._node.wall_s()) & MAX_SECONDS,
@@ -132,5 +139,5 @@
         )
 
 
-def _size(item: Item) -> int:
+def _item_size(item: Item) -> int:
     return PROBE_ITEM_BYTES if isinstance(item, Ping | Ack | PingRequest) else item_size(item)
--- a/lilacfront/membership/service.py
+++ b/lilacfront/membership/service.py
@@ -1,4 +1,4 @@
-"""The membership on the program's loop: datagrams in and out, timers, and a log line for every change."""
+"""Runs the membership on the event loop: sends and receives datagrams, runs timers and logs changes."""
 
 from __future__ import annotations
 
@@ -19,37 +19,37 @@
 from lilacfront.sched import Loop, Task
 
 log = Log(__name__)
-MAX_OUTLIERS_SHOWN = 16  # engines named to an operator
-NEVER_S = 1e9  # a contact longer ago was never
+MAX_OUTLIERS_SHOWN = 16  # maximum number of engines named in the answer of PEERS
+NEVER_S = 1e9  # a larger time since the last message means that there was none
 
 
 @dataclass(slots=True, frozen=True)
 class MemberConfig:
-    """How a front end takes part.
+    """Configuration of this front end as a member.
 
     Attributes:
         settings: Timeouts and limits.
-        member_count: How many members there are.
-        own: This one's number.
-        seed: Of its random draws.
-        keys: By their numbers; the first tags what is sent.
+        member_count: Number of members.
+        own_member: Number of this member.
+        seed: Seed of the random number generator.
+        keys: Keys by their numbers; sent messages are tagged with the first one.
     """
 
     settings: MembershipSettings
     member_count: int
-    own: int
+    own_member: int
     seed: int
     keys: dict[int, bytes]
 
 
 @dataclass(slots=True, frozen=True)
 class MembershipHooks:
-    """What the service needs of the program around it.
+    """Callbacks into the rest of the program.
 
     Attributes:
         send: Sends a datagram to a member.
-        receive_other: Takes the datagrams of other versions, with the member that sent them.
-        engine_name: The name of an engine for the log and for operators.
+        receive_other: Handles a datagram of another protocol version from a member.
+        engine_name: Returns the name of an engine for the log and for operators.
     """
 
     send: Callable[[int, bytes], None]
@@ -61,9 +61,9 @@
     """Runs the failure detector of one front end.
 
     Attributes:
-        view: What it holds of all members.
-        detector: The protocol.
-        integration: What the decisions use of it.
+        view: States and incarnations of all members.
+        detector: The failure detector.
+        integration: Passes the fleet size and outliers to the routing decisions.
     """
 
     def __init__(
@@ -74,13 +74,13 @@
         outlier_gossip: OutlierGossip,
         hooks: MembershipHooks,
     ) -> None:
-        """Start as a member; `fleet_size` and `outlier_gossip` are those that the decisions use."""
+        """Start as a member; the routing decisions use `fleet_size` and `outlier_gossip`."""
         self.loop = loop
         self._hooks = hooks
         self._outliers = frozenset[int]()
         self._was_isolated = False
         self._task: Task | None = None
-        self.view = MembershipView(config.member_count, config.own, loop.now, self)
+        self.view = MembershipView(config.member_count, config.own_member, loop.now, self)
         self.detector = FailureDetector(
             self.view, config.settings, config.seed, loop.now, time.time, config.keys
         )
@@ -106,7 +106,7 @@
         )
 
     def on_decisions_change(self, fleet_size: int, outliers: frozenset[int]) -> None:
-        """Log that what the decisions use has changed."""
+        """Log a new fleet size and new or cleared outliers."""
         if self.integration.adjusts_shares:
             log.info("fleet size in use", count=fleet_size, live=self.view.live_count)
         for engine in outliers - self._outliers:
@@ -117,21 +117,21 @@
 
     # ---- datagrams ----------------------------------------------------------------------------
     def send_all(self, datagrams: Iterable[OutgoingDatagram]) -> None:
-        """Send what the detector returned."""
+        """Send datagrams that the detector returned."""
         for member, data in datagrams:
             self._hooks.send(member, data)
 
-    def receive(self, place: int, data: bytes) -> None:
-        """Read a datagram of member `place`."""
+    def receive(self, source: int, data: bytes) -> None:
+        """Handle a datagram from the address of member `source`."""
         if data[:1] != bytes([VERSION]):
-            self._hooks.receive_other(place, data)
+            self._hooks.receive_other(source, data)
             return
-        self.send_all(self.detector.receive(self.loop.now, place, data))
+        self.send_all(self.detector.receive(self.loop.now, source, data))
         if self._task is not None:
-            self._task.wake(None)  # something may be due earlier now
+            self._task.wake(None)  # the next deadline may be earlier now
 
     def run(self, task: Task) -> None:
-        """Call the detector whenever it has something to do, for ever."""
+        """Call the detector at each of its deadlines, forever."""
         self._task = task
         while True:
             self.loop.wait(task, self.detector.next_deadline())
@@ -149,22 +149,22 @@
 
     # ---- draining -----------------------------------------------------------------------------
     def leave(self) -> None:
-        """Notify the others that this front end accepts no more clients."""
+        """Notify other members that this front end accepts no more clients."""
         if not self.detector.has_left:
             self.send_all(self.detector.leave(self.loop.now))
 
     def rejoin(self) -> None:
-        """Notify the others that this front end accepts clients again."""
+        """Notify other members that this front end accepts clients again."""
         if self.detector.has_left:
             self.send_all(self.detector.rejoin(self.loop.now))
 
     def stop(self) -> None:
-        """Send nothing more: another process of this front end is the member from now on."""
+        """Stop sending, because another process of this front end takes over as this member."""
         self.detector.stop()
 
     # ---- operators ----------------------------------------------------------------------------
     def status_lines(self) -> list[str]:
-        """The answer of the admin command PEERS: a summary, then a line for each member."""
+        """Answer of the admin command PEERS: a summary line, then a line for each member."""
         return [self._summary(), *(self._member_line(update) for update in self.view)]
 
     def _summary(self) -> str:
@@ -175,23 +175,23 @@
             f"; {count} messages refused: {reason}" for reason, count in sorted(detector.rejected.items())
         )
         sent = f"; {detector.sent_bytes} bytes sent"
-        return f"{len(self.view)} members: {states}{isolated}{self._used()}{sent}{rejected}"
+        return f"{len(self.view)} members: {states}{isolated}{self._decisions_summary()}{sent}{rejected}"
 
-    def _used(self) -> str:
-        """What the decisions use."""
-        used = ""
+    def _decisions_summary(self) -> str:
+        """The fleet size and the outliers that the routing decisions use."""
+        summary = ""
         if self.integration.adjusts_shares:
-            used = f"; shares divided by {self.integration.fleet_size.count}"
+            summary = f"; shares divided by {self.integration.fleet_size.count}"
         if self._outliers:
             names = sorted(map(self._hooks.engine_name, self._outliers))
-            used += "; doubted: " + " ".join(names[:MAX_OUTLIERS_SHOWN])
-        return used
+            summary += "; doubted: " + " ".join(names[:MAX_OUTLIERS_SHOWN])
+        return summary
 
     def _member_line(self, update: MemberUpdate) -> str:
         now, member = self.loop.now, update.member
         contact_s = now - self.detector.last_contact_at[member]
-        since_s = now - self.view.since[member]
-        if member == self.view.own:
+        since_s = now - self.view.state_since[member]
+        if member == self.view.own_member:
             contact = "itself"
         elif contact_s < NEVER_S:
             contact = f"heard {contact_s:.1f} s ago"
--- a/lilacfront/membership/settings.py
+++ b/lilacfront/membership/settings.py
@@ -1,7 +1,7 @@
-"""Settings of the membership, read from `deploy/peers.toml`, and the keys that authenticate its datagrams.
+"""Settings of the membership, from `deploy/peers.toml`, and the keys that authenticate its datagrams.
 
-Membership is off without the file and in the file as shipped. The names of the keys in the file stand here
-alone, as the `name` of each field.
+Membership is off if there is no file, and in the file as shipped. The `name` of a field is its key in the
+file, where that differs from the name of the attribute.
 """
 
 from __future__ import annotations
@@ -17,17 +17,18 @@
 
 
 class MembershipSettingsError(SettingsError):
-    """A membership file or key file that can't be used; the text names the key or line of the file."""
+    """A settings file or key file is invalid; the text names the key or the line of the file."""
 
 
 class MembershipUses(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """[membership.uses]: which decisions use what the membership finds, each switched by itself.
+    """[membership.uses]: which decisions use the membership; each can be turned on separately.
 
     Attributes:
-        turns: Shares, and turns on warming engines, are divided by the number of live front ends.
-        thread_limit: The limit on threads at all engines is.
-        quotas: The quotas of tenants are.
-        outliers: Engines that other front ends report as outliers are tried with one short read first.
+        turns: Divide shares and turns on warming engines by the number of live front ends.
+        thread_limit: Divide the limit on threads at all engines by that number.
+        quotas: Divide the quotas of tenants by that number.
+        outliers: Send an engine that other front ends report as an outlier only one short read until it
+            responds.
     """
 
     turns: bool = False
@@ -37,17 +38,18 @@
 
 
 class MembershipSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """[membership]: the protocol period, timeouts and limits; all times are seconds.
+    """[membership]: the probe interval, timeouts and limits; all times are in seconds.
 
     Attributes:
-        enabled: Whether this front end takes part.
-        probe_interval_s: Between two probes.
-        ack_timeout_s: For the ack of a direct ping, after which others are asked to ping the target.
-        indirect_probes: How many others are asked.
-        min_suspicion_s: A suspect member may refute at least this long, with many accusers.
-        max_suspicion_s: A suspect member may refute this long with one accuser.
-        max_bytes_per_s: Sent by a front end, headers of IP and UDP included.
-        keys_path: File with lines `NUMBER HEX`; the first key tags what is sent, each is accepted.
+        enabled: Whether this front end takes part in the membership.
+        probe_interval_s: Time between two probes.
+        ack_timeout_s: Timeout of a direct ping, after which other members are asked to ping the target.
+        indirect_probes: Number of other members that are asked.
+        min_suspicion_s: Time a suspect has to refute if it has many accusers.
+        max_suspicion_s: Time a suspect has to refute if it has one accuser.
+        max_bytes_per_s: Rate limit of sent datagrams, including IP and UDP headers.
+        keys_path: File with lines `NUMBER HEX`. Messages are tagged with the first key, and accepted with a
+            tag of any of the keys.
         uses: Which decisions use the membership.
     """
 
@@ -63,12 +65,12 @@
 
 
 class MembershipFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole of `peers.toml`."""
+    """Contents of `peers.toml`."""
 
     membership: MembershipSettings = MembershipSettings()
 
 
-RANGES: dict[str, tuple[float, float]] = {  # by the names of the fields
+RANGES: dict[str, tuple[float, float]] = {  # (minimum, maximum) by attribute name
     "probe_interval_s": (0.05, 60.0),
     "ack_timeout_s": (0.01, 30.0),
     "indirect_probes": (0, 16),
@@ -80,19 +82,19 @@
 
 
 def parse(text: bytes) -> MembershipSettings:
-    """Read and check the file.
+    """Parse and validate the settings file.
 
     Raises:
-        MembershipSettingsError: It is no such file, or a value is out of its range.
+        MembershipSettingsError: The text can't be parsed, or a value is out of range.
     """
     try:
         settings = msgspec.toml.decode(text, type=MembershipFile).membership
     except (msgspec.MsgspecError, ValueError) as problem:
         raise MembershipSettingsError("", problem) from problem
-    for name, (least, most) in RANGES.items():
+    for name, (minimum, maximum) in RANGES.items():
         value = getattr(settings, name)
-        if not least <= value <= most:
-            raise _error(name, f"{value} is not from {least} to {most}")
+        if not minimum <= value <= maximum:
+            raise _error(name, f"{value} is not from {minimum} to {maximum}")
     if settings.ack_timeout_s >= settings.probe_interval_s:
         limit = f"{FILE_KEYS['probe_interval_s']}, {settings.probe_interval_s}"
         raise _error("ack_timeout_s", f"{settings.ack_timeout_s} is not below {limit}")
@@ -107,10 +109,11 @@
 
 
 def parse_keys(text: bytes) -> dict[int, bytes]:
-    """Read the keys by their numbers, in the order of the file; the first tags what is sent.
+    """Parse the key file; returns the keys by their numbers, in the order of the file.
 
     Raises:
-        MembershipSettingsError: A line is no key; no message holds any part of one.
+        MembershipSettingsError: A line is invalid, a number is repeated or there is no key. The text never
+            contains any part of a key.
     """
     keys: dict[int, bytes] = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -119,20 +122,24 @@
             continue
         key_id, secret = _parse_key(f"line {number}", words)
         if key_id in keys:
-            raise MembershipSettingsError(f"line {number}", f"key {key_id} stands there twice")
+            raise MembershipSettingsError(
+                f"line {number}", f"key number {key_id} is used on an earlier line, too"
+            )
         keys[key_id] = secret
     if not keys:
-        raise MembershipSettingsError("", "no key")
+        raise MembershipSettingsError("", "the file contains no key")
     return keys
 
 
-def _parse_key(where: str, words: list[bytes]) -> tuple[int, bytes]:
+def _parse_key(location: str, words: list[bytes]) -> tuple[int, bytes]:
     if len(words) != 2 or not words[0].isdigit() or int(words[0]) > MAX_KEY_ID:
-        raise MembershipSettingsError(where, f"not a number up to {MAX_KEY_ID} and a key")
+        raise MembershipSettingsError(
+            location, f"expected a number from 0 to {MAX_KEY_ID} and a hexadecimal key"
+        )
     try:
         secret = bytes.fromhex(words[1].decode("ascii"))
     except ValueError:
-        raise MembershipSettingsError(where, "the key is not hexadecimal") from None
+        raise MembershipSettingsError(location, "the key is not hexadecimal") from None
     if not MIN_KEY_BYTES <= len(secret) <= MAX_KEY_BYTES:
-        raise MembershipSettingsError(where, f"a key has {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
+        raise MembershipSettingsError(location, f"a key has {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
     return int(words[0]), secret
--- a/lilacfront/membership/view.py
+++ b/lilacfront/membership/view.py
@@ -1,8 +1,8 @@
-"""What one front end holds of all members. State without I/O.
+"""The membership view of one front end: state and incarnation of each member. No I/O.
 
-A view is a join of what was accepted: of each member the pair (incarnation, state) that is highest, states in
-the order alive, suspect, dead, left. Updates are therefore commutative, associative and idempotent, and no
-incarnation goes back.
+For each member the view keeps the highest accepted pair (incarnation, state), with the states ordered alive,
+suspect, dead, left. Applying updates is therefore commutative, associative and idempotent, and incarnations
+never decrease.
 """
 
 from __future__ import annotations
@@ -18,30 +18,32 @@
     """Is notified when a member changes its state."""
 
     def on_state_change(self, update: MemberUpdate, reason: str) -> None:
-        """A member is held in another state than before."""
+        """Called when the state of a member has changed."""
         ...
 
 
 class MembershipView:
-    """The states and incarnations of members, numbered from 0; all count as alive until found otherwise.
+    """States and incarnations of the members, which are numbered from 0. All members are initially alive.
 
     Attributes:
-        own: The number of the front end whose view it is.
-        incarnations: By member.
-        states: By member, the numbers of their states.
-        since: By member, since when it has been in its state, in seconds.
-        counts: How many members are in each state.
-        bitmaps: For each state, a bit for each member in it.
+        own_member: Number of the member whose view it is.
+        incarnations: Incarnation of each member; 0 if none was received.
+        states: Number of the MemberState of each member.
+        state_since: Time in seconds at which each member entered its state.
+        counts: Number of members in each state.
+        bitmaps: Bit mask for each state, in which bit n is set if member n is in the state.
     """
 
-    def __init__(self, members: int, own: int, now: float, listener: StateListener | None = None) -> None:
-        self.own = own
+    def __init__(
+        self, member_count: int, own_member: int, now: float, listener: StateListener | None = None
+    ) -> None:
+        self.own_member = own_member
         self._listener = listener
-        self.incarnations = array("L", [0]) * members
-        self.states = bytearray(members)
-        self.since = array("d", [now]) * members
-        self.counts = [members, 0, 0, 0]
-        self.bitmaps = [(1 << members) - 1, 0, 0, 0]
+        self.incarnations = array("L", [0]) * member_count
+        self.states = bytearray(member_count)
+        self.state_since = array("d", [now]) * member_count
+        self.counts = [member_count, 0, 0, 0]
+        self.bitmaps = [(1 << member_count) - 1, 0, 0, 0]
 
     def __len__(self) -> int:
         return len(self.states)
@@ -50,27 +52,27 @@
         return (self.update_of(member) for member in range(len(self)))
 
     def state(self, member: int) -> MemberState:
-        """The state of a member."""
+        """State of a member."""
         return STATES[self.states[member]]
 
     def update_of(self, member: int) -> MemberUpdate:
-        """What is held of a member, as it is told to others."""
+        """The state and incarnation of a member, as an update for other members."""
         return MemberUpdate(member, self.incarnations[member], STATES[self.states[member]])
 
     @property
     def live_count(self) -> int:
-        """Members that are alive or suspect; a suspect one counts until it is found dead."""
+        """Number of members that are alive or suspect; a suspect counts until it is declared dead."""
         return self.counts[MemberState.ALIVE] + self.counts[MemberState.SUSPECT]
 
     def supersedes(self, update: MemberUpdate) -> bool:
-        """Whether an update is newer than what is held; one of a member that does not exist is not."""
+        """Whether an update is newer than the view; False if there is no such member."""
         if not 0 <= update.member < len(self):
             return False
-        held = (self.incarnations[update.member], self.states[update.member])
-        return (update.incarnation, update.state) > held
+        current = (self.incarnations[update.member], self.states[update.member])
+        return (update.incarnation, update.state) > current
 
     def apply(self, update: MemberUpdate, now: float, reason: str) -> bool:
-        """Hold what an update says from now on; returns False if it is not newer."""
+        """Apply an update; returns False if it is not newer than the view."""
         if not self.supersedes(update):
             return False
         self.incarnations[update.member] = update.incarnation
@@ -81,14 +83,14 @@
         return True
 
     def _change_state(self, update: MemberUpdate, now: float) -> None:
-        member, state, before = update.member, update.state, self.states[update.member]
+        member, state, previous_state = update.member, update.state, self.states[update.member]
         self.states[member] = state
-        self.since[member] = now
-        self.counts[before] -= 1
+        self.state_since[member] = now
+        self.counts[previous_state] -= 1
         self.counts[state] += 1
-        self.bitmaps[before] &= ~(1 << member)
+        self.bitmaps[previous_state] &= ~(1 << member)
         self.bitmaps[state] |= 1 << member
 
     def same_as(self, other: MembershipView) -> bool:
-        """Whether another front end holds the same of all members."""
+        """Whether the view of another front end has the same states and incarnations."""
         return self.states == other.states and self.incarnations == other.incarnations
--- a/lilacfront/recovery/state_exchange.py
+++ b/lilacfront/recovery/state_exchange.py
@@ -126,7 +126,7 @@
         if room >= ITEM_HEADER_BYTES + DIGEST.size + OFFERS_PER_DIGEST * OFFER.size:
             seq = self._state.ready_list().seq
             offers = (
-                self._offer(StateKind.OPERATOR_ORDERS, _ANY_PEER),
+                self._offer(StateKind.OPERATOR_DIRECTIVES, _ANY_PEER),
                 self._offer(StateKind.ENDPOINT_LIST, _ANY_PEER),
             )
             yield StateDigest(self._state.stage_number(), seq & SHORT_ID_MASK, offers)
@@ -151,7 +151,7 @@
         encoded = self._encoded.get(key)
         if encoded is None:
             match kind:
-                case StateKind.OPERATOR_ORDERS:
+                case StateKind.OPERATOR_DIRECTIVES:
                     encoded = encode_directives(self._state.own_directives())
                 case StateKind.REPLICA:
                     encoded = encode_directives(self._state.peer_directives().get(peer, {}).values())
@@ -171,7 +171,7 @@
     def _wants(self, now: float, peer: int, kind: int, checksum: int, seq: int) -> bool:
         """Whether an offered state is to be fetched."""
         match kind:
-            case StateKind.OPERATOR_ORDERS:
+            case StateKind.OPERATOR_DIRECTIVES:
                 fruitless, until = self._fruitless.get(peer, (_NO_CHECKSUM, 0.0))
                 # Where they differ, the peer may have lost its directives or have newer ones: merging tells.
                 differ = self._checksum(StateKind.REPLICA, peer) != checksum
@@ -184,7 +184,7 @@
 
     def _wants_replica(self, peer: int, checksum: int) -> bool:
         """Whether a peer's replica of the directives to this front end is to be fetched."""
-        if self._checksum(StateKind.OPERATOR_ORDERS, _ANY_PEER) == checksum:
+        if self._checksum(StateKind.OPERATOR_DIRECTIVES, _ANY_PEER) == checksum:
             self.disagreeing_peers.discard(peer)
             return False
         if not self._state.recovering():
@@ -196,9 +196,9 @@
         if request.kind not in (*StateKind,):
             return
         data = self._encode(StateKind(request.kind), peer)
-        if zlib.crc32(data) == request.check and request.offset < len(data) <= MAX_STATE_BYTES:
+        if zlib.crc32(data) == request.checksum and request.offset < len(data) <= MAX_STATE_BYTES:
             chunk = data[request.offset : request.offset + MAX_CHUNK_BYTES]
-            yield StateChunk(request.kind, request.check, request.offset, chunk)
+            yield StateChunk(request.kind, request.checksum, request.offset, chunk)
 
     def _receive_chunk(self, now: float, peer: int, chunk: StateChunk) -> Iterator[Item]:
         received = self._transfers.receive(now, peer, chunk)
@@ -206,14 +206,14 @@
             yield received
         elif received is not None:
             try:
-                yield from self._apply(now, peer, chunk.kind, received, chunk.check)
+                yield from self._apply(now, peer, chunk.kind, received, chunk.checksum)
             except msgspec.MsgspecError:
                 return  # of another version, or malicious: as if it had not come
 
     def _apply(self, now: float, peer: int, kind: int, data: bytes, checksum: int) -> Iterator[Item]:
         """Use a state that came complete."""
         match kind:
-            case StateKind.OPERATOR_ORDERS:
+            case StateKind.OPERATOR_DIRECTIVES:
                 self._state.merge_peer_directives(peer, decode_directives(data))
                 self.invalidate()
                 if self._checksum(StateKind.REPLICA, peer) != checksum:
--- a/lilacfront/recovery/transfers.py
+++ b/lilacfront/recovery/transfers.py
@@ -53,7 +53,7 @@
         """
         key = (peer, chunk.kind)
         transfer = self._transfers.get(key)
-        if transfer is None or transfer.checksum != chunk.check:
+        if transfer is None or transfer.checksum != chunk.checksum:
             return None
         if chunk.offset != len(transfer.data) or not chunk.data:
             return None
@@ -61,10 +61,10 @@
         transfer.asked_at = now
         transfer.received_at = now
         if len(transfer.data) < transfer.size:
-            return ChunkRequest(chunk.kind, chunk.check, len(transfer.data))
+            return ChunkRequest(chunk.kind, chunk.checksum, len(transfer.data))
         del self._transfers[key]
         state = bytes(transfer.data)
-        return state if zlib.crc32(state) == chunk.check else None
+        return state if zlib.crc32(state) == chunk.checksum else None
 
     def expire(self, now: float) -> set[int]:
         """Drop the transfers that have stalled for too long; returns their peers."""
--- a/tests/membership/test_baseline_detectors.py
+++ b/tests/membership/test_baseline_detectors.py
@@ -1,4 +1,4 @@
-"""The detectors that the program's is compared with, on one script."""
+"""Seeded runs of the baseline failure detectors, compared with recorded results."""
 
 import json
 from pathlib import Path
@@ -20,12 +20,12 @@
 ]
 
 
-def test_every_detector_has_a_saved_row() -> None:
+def test_every_detector_has_a_recorded_row() -> None:
     assert list(ROWS) == list(DETECTORS)
 
 
 @pytest.mark.parametrize("name", DETECTORS)
-def test_a_seeded_comparison_gives_the_saved_row(name: str) -> None:
+def test_seeded_run_gives_the_recorded_row(name: str) -> None:
     script = FaultScript(members=8, duration_s=20.0, loss_fraction=0.05, faults=FAULTS)
     outcomes = [TierSimulation(script, seed, DETECTORS[name]).run() for seed in (1, 2)]
     assert row(name, outcomes) == ROWS[name]
--- a/tests/membership/test_codec.py
+++ b/tests/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""The form of messages on the wire."""
+"""Encoding and decoding of messages between front ends."""
 
 import contextlib
 
@@ -39,7 +39,7 @@
 MESSAGE = Message(4, 1_800_000_000, 77, 1_800_000_123, ITEMS)
 
 
-def test_a_message_is_decoded_as_it_was_encoded() -> None:
+def test_encoded_message_decodes_to_itself() -> None:
     encoded = codec.encode(MESSAGE)
     assert len(encoded) <= codec.MAX_DATAGRAM_BYTES
     decoded = codec.decode(encoded)
@@ -53,17 +53,17 @@
     )
 
 
-def test_a_kind_and_a_state_of_a_later_version_are_skipped() -> None:
+def test_unknown_kinds_and_states_are_skipped() -> None:
     later = codec.encode(MESSAGE) + bytes([99, 3]) + b"new" + bytes([4, 7]) + codec.UPDATE.pack(1, 2, 9)
     assert set(codec.decode(later).items) == set(ITEMS)
 
 
-def test_another_version_is_an_error_that_names_it() -> None:
+def test_other_version_is_an_error_that_names_it() -> None:
     with pytest.raises(CodecError, match="version 1"):
         codec.decode(b"\1" + codec.encode(MESSAGE)[1:])
 
 
-def test_a_message_that_was_cut_has_whole_items_or_is_an_error() -> None:
+def test_truncated_message_decodes_or_raises_codec_error() -> None:
     encoded = codec.encode(MESSAGE)
     for length in range(len(encoded)):
         with contextlib.suppress(CodecError):
@@ -71,27 +71,27 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_a_message_or_a_codec_error(data: bytes) -> None:
-    for head in (b"", bytes([codec.VERSION])):
+def test_arbitrary_bytes_decode_or_raise_codec_error(data: bytes) -> None:
+    for prefix in (b"", bytes([codec.VERSION])):
         for keys in (None, KEYS):
             with contextlib.suppress(CodecError):
-                codec.decode(head + data, keys)
+                codec.decode(prefix + data, keys)
 
 
-def test_a_tag_by_any_of_the_keys_is_accepted() -> None:
+def test_tag_of_any_key_is_accepted() -> None:
     assert codec.decode(codec.encode(MESSAGE, (4, KEYS[4])), KEYS).key_id == 4
 
 
-def test_a_change_of_any_byte_of_a_tagged_message_is_an_error() -> None:
+def test_changing_any_byte_of_a_tagged_message_is_an_error() -> None:
     tagged = codec.encode(MESSAGE, (4, KEYS[4]))
-    for n in range(len(tagged)):
+    for index in range(len(tagged)):
         with pytest.raises(CodecError):
-            codec.decode(tagged[:n] + bytes([tagged[n] ^ 1]) + tagged[n + 1 :], KEYS)
+            codec.decode(tagged[:index] + bytes([tagged[index] ^ 1]) + tagged[index + 1 :], KEYS)
 
 
 @pytest.mark.parametrize(
-    "key", [None, (4, b"x" * 32), (9, b"x" * 32)], ids=["no tag", "another secret", "an unknown key"]
+    "key", [None, (4, b"x" * 32), (9, b"x" * 32)], ids=["no tag", "wrong secret", "unknown key number"]
 )
-def test_with_keys_a_message_that_none_of_them_has_tagged_is_an_error(key: tuple[int, bytes] | None) -> None:
+def test_message_without_a_valid_tag_is_an_error_if_there_are_keys(key: tuple[int, bytes] | None) -> None:
     with pytest.raises(CodecError):
         codec.decode(codec.encode(MESSAGE, key), KEYS)
--- a/tests/membership/test_datagram_link.py
+++ b/tests/membership/test_datagram_link.py
@@ -1,4 +1,4 @@
-"""The socket between front ends."""
+"""The UDP socket for datagrams between front ends."""
 
 import socket
 from collections.abc import Iterator
@@ -12,28 +12,28 @@
 
 @pytest.fixture
 def loop() -> Iterator[Loop]:
-    made = Loop(Clock())
-    yield made
-    made.close()
+    loop = Loop(Clock())
+    yield loop
+    loop.close()
 
 
 def bound_socket() -> socket.socket:
-    made = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    made.bind(("127.0.0.1", 0))
-    made.settimeout(5)
-    return made
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sock.bind(("127.0.0.1", 0))
+    sock.settimeout(5)
+    return sock
 
 
 @pytest.fixture
 def peer() -> Iterator[socket.socket]:
-    with bound_socket() as made:
-        yield made
+    with bound_socket() as sock:
+        yield sock
 
 
 @pytest.fixture
-def stranger() -> Iterator[socket.socket]:
-    with bound_socket() as made:
-        yield made
+def unknown_sender() -> Iterator[socket.socket]:
+    with bound_socket() as sock:
+        yield sock
 
 
 @pytest.fixture
@@ -43,21 +43,21 @@
 
 @pytest.fixture
 def link(loop: Loop, peer: socket.socket, received: list[tuple[int, bytes]]) -> Iterator[DatagramLink]:
-    """A link to two peers, the second of which is `peer`."""
+    """A link to two peers, of which `peer` has index 1."""
     addresses = (("127.0.0.1", 9), peer.getsockname())
-    made = DatagramLink(loop, ("127.0.0.1", 0), addresses, lambda *datagram: received.append(datagram))
-    yield made
-    made.close()
+    link = DatagramLink(loop, ("127.0.0.1", 0), addresses, lambda *datagram: received.append(datagram))
+    yield link
+    link.close()
 
 
-def test_datagrams_of_peers_are_received_and_those_of_strangers_or_too_long_are_not(
+def test_datagrams_that_are_too_long_or_not_from_peers_are_dropped(
     loop: Loop,
     link: DatagramLink,
     peer: socket.socket,
-    stranger: socket.socket,
+    unknown_sender: socket.socket,
     received: list[tuple[int, bytes]],
 ) -> None:
-    stranger.sendto(b"no", link.address)
+    unknown_sender.sendto(b"no", link.address)
     peer.sendto(bytes(257), link.address)
     peer.sendto(bytes(256), link.address)
     while not received:
@@ -65,7 +65,7 @@
     assert received == [(1, bytes(256))]
 
 
-def test_datagrams_go_to_one_peer_or_all_and_none_is_too_long(
+def test_send_to_one_or_all_peers_drops_datagrams_that_are_too_long(
     link: DatagramLink, peer: socket.socket
 ) -> None:
     link.send(1, bytes(257))
--- a/tests/membership/test_fault_schedules.py
+++ b/tests/membership/test_fault_schedules.py
@@ -1,4 +1,4 @@
-"""Every schedule of two faults among three members, and that a property broken on purpose is found."""
+"""Exploration of all schedules of two faults among three members, and detection of injected defects."""
 
 import os
 
@@ -11,26 +11,26 @@
 from lilacfront.membership.sender import OutgoingDatagram
 
 
-def test_no_schedule_of_two_faults_breaks_a_property() -> None:
-    played, broken = explore_all("none", min(8, os.cpu_count() or 1))
-    assert not broken, broken[:3]
-    assert played > 3000
+def test_no_schedule_of_two_faults_violates_a_property() -> None:
+    schedule_count, violations = explore_all("none", min(8, os.cpu_count() or 1))
+    assert not violations, violations[:3]
+    assert schedule_count > 3000
 
 
-@pytest.mark.parametrize("spoil", [name for name in DEFECTS if name != "none"])
-def test_a_property_broken_on_purpose_is_found(spoil: str) -> None:
-    first = list(all_schedules())[:200]
-    assert any(find_violations([schedule], spoil) for schedule in first)
+@pytest.mark.parametrize("defect", [name for name in DEFECTS if name != "none"])
+def test_injected_defect_is_found(defect: str) -> None:
+    schedules = list(all_schedules())[:200]
+    assert any(find_violations([schedule], defect) for schedule in schedules)
 
 
-def test_an_incarnation_that_is_lowered_is_found() -> None:
+def test_decreasing_incarnation_is_found() -> None:
     def lower_incarnations(detector: FailureDetector) -> None:
-        tick = detector.tick
+        original_tick = detector.tick
 
         def lowering_tick(now: float) -> list[OutgoingDatagram]:
             if now > 1.0:
                 detector.view.incarnations[1] -= 1
-            return tick(now)
+            return original_tick(now)
 
         detector.tick = lowering_tick  # type: ignore[method-assign]
 
--- a/tests/membership/test_front_end_processes.py
+++ b/tests/membership/test_front_end_processes.py
@@ -1,6 +1,7 @@
-"""Several real front ends with faults between them: who is held dead, and what it is used for.
+"""Membership of several front end processes with injected faults.
 
-Each test waits for what the processes report, under generous limits; none counts seconds.
+The tests wait for the states and log events that the processes report, with long timeouts, and don't measure
+times.
 """
 
 import signal
@@ -19,234 +20,263 @@
 
 
 @contextmanager
-def fleet(folder: Path, members: int, uses: MembershipUses | None = None, **more: Any) -> Iterator[Fleet]:
-    made = Fleet(
-        folder,
+def running_fleet(
+    directory: Path, members: int, uses: MembershipUses | None = None, **script_fields: Any
+) -> Iterator[Fleet]:
+    fleet = Fleet(
+        directory,
         FaultScript(
             members=members,
             membership=MembershipSettings(enabled=True, uses=uses or MembershipUses()),
-            **more,
+            **script_fields,
         ),
         3,
     )
     try:
-        yield made.wait_until_ready()
+        yield fleet.wait_until_ready()
     finally:
-        made.close()
+        fleet.close()
 
 
-def one_view(made: Fleet) -> bool:
-    living = [
-        n for n in range(made.script.members) if n not in made.ended and n not in made.script.legacy_members
+def all_live_see_each_other(fleet: Fleet) -> bool:
+    """Whether each live member of the current version has all of them as alive in its view."""
+    live = [
+        member
+        for member in range(fleet.script.members)
+        if member not in fleet.ended and member not in fleet.script.legacy_members
     ]
-    return all((view := made.view(n)) is not None and all(view[m] == "alive" for m in living) for n in living)
+    return all(
+        (view := fleet.view(viewer)) is not None and all(view[member] == "alive" for member in live)
+        for viewer in live
+    )
 
 
-def incarnation(made: Fleet, viewer: int, member: int) -> int:
-    line = made.processes[viewer].admin_request("PEERS").splitlines()[1 + member]
+def incarnation_seen_by(fleet: Fleet, viewer: int, member: int) -> int:
+    line = fleet.processes[viewer].admin_request("PEERS").splitlines()[1 + member]
     return int(line.split("incarnation=")[1].split(" ")[0])
 
 
-def test_a_stopped_one_is_held_dead_and_one_that_is_cut_one_way_is_not(tmp_path: Path) -> None:
-    with fleet(tmp_path, 4) as made:
-        # One direction between two is cut: others carry the probes. Events elsewhere show that it lasts.
-        FaultInjector(made).inject(
+def test_stopped_member_is_dead_and_one_way_cut_member_is_not(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 4) as fleet:
+        # Indirect pings bridge the cut from member 0 to member 1. The cut lasts while member 2 is stopped,
+        # declared dead and resumed.
+        FaultInjector(fleet).inject(
             Fault(at_s=0, action="cut", targets=[0], destinations=[1], bidirectional=False)
         )
-        made.pause(2)
-        wait_until(lambda: made.all_see_state(2, "dead"), "the stopped one to be held dead")
-        assert "dead" not in (made.state_seen_by(0, 1), made.state_seen_by(1, 0))
-        made.resume(2)
-        wait_until(lambda: made.all_see_state(2, "alive"), "its refutation")
-        stopped = made.processes[2]
-        assert not stopped.logged(
-            "member state changed", state="dead"
-        )  # it declared nobody dead for its pause
-        FaultInjector(made).inject(Fault(at_s=0, action="heal"))
-        wait_until(lambda: one_view(made), "one view")
-
-
-def test_one_that_is_killed_and_back_at_once_is_known_in_its_new_incarnation(tmp_path: Path) -> None:
-    with fleet(tmp_path, 4) as made:
-        wait_until(lambda: one_view(made), "one view")
-        old = incarnation(made, 0, 3)
-        made.kill(3)
-        made.start(3)
-        made.processes[3].wait_until_ready()
-        wait_until(lambda: all(incarnation(made, n, 3) > old for n in range(3)), "its new life to be known")
-        wait_until(lambda: one_view(made), "one view")
-
-
-def test_one_that_leaves_is_held_to_have_left_and_never_dead(tmp_path: Path) -> None:
-    with fleet(tmp_path, 4) as made:
-        wait_until(lambda: one_view(made), "one view")
-        leaving = made.processes[1]
+        fleet.pause(2)
+        wait_until(lambda: fleet.all_see_state(2, "dead"), "all members to see the stopped member as dead")
+        assert "dead" not in (fleet.state_seen_by(0, 1), fleet.state_seen_by(1, 0))
+        fleet.resume(2)
+        wait_until(lambda: fleet.all_see_state(2, "alive"), "all members to see the resumed member as alive")
+        stopped = fleet.processes[2]
+        assert not stopped.logged("member state changed", state="dead")
+        FaultInjector(fleet).inject(Fault(at_s=0, action="heal"))
+        wait_until(lambda: all_live_see_each_other(fleet), "all live members to see each other as alive")
+
+
+def test_new_incarnation_of_a_restarted_member_is_disseminated(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 4) as fleet:
+        wait_until(lambda: all_live_see_each_other(fleet), "all live members to see each other as alive")
+        old_incarnation = incarnation_seen_by(fleet, 0, 3)
+        fleet.kill(3)
+        fleet.start(3)
+        fleet.processes[3].wait_until_ready()
+        wait_until(
+            lambda: all(incarnation_seen_by(fleet, viewer, 3) > old_incarnation for viewer in range(3)),
+            "all members to see the new incarnation",
+        )
+        wait_until(lambda: all_live_see_each_other(fleet), "all live members to see each other as alive")
+
+
+def test_leaving_member_is_left_and_never_dead(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 4) as fleet:
+        wait_until(lambda: all_live_see_each_other(fleet), "all live members to see each other as alive")
+        leaving = fleet.processes[1]
         leaving.signal(signal.SIGTERM)
         assert leaving.wait_until_ended() == 0
-        made.ended.add(1)
-        wait_until(lambda: made.all_see_state(1, "left"), "the one that left")
-        assert not made.processes[0].logged("member state changed", member=1, state="dead")
+        fleet.ended.add(1)
+        wait_until(lambda: fleet.all_see_state(1, "left"), "all members to see the leaving member as left")
+        assert not fleet.processes[0].logged("member state changed", member=1, state="dead")
 
 
-def test_a_paused_one_has_left_until_it_is_resumed(tmp_path: Path) -> None:
-    with fleet(tmp_path, 4) as made:
-        assert made.processes[2].admin_request("PAUSE").startswith("ok")
-        wait_until(lambda: made.all_see_state(2, "left"), "the paused one to have left")
-        assert made.processes[2].admin_request("RESUME").startswith("ok")
-        wait_until(lambda: made.all_see_state(2, "alive"), "its return")
+def test_member_paused_by_operator_is_left_until_resumed(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 4) as fleet:
+        assert fleet.processes[2].admin_request("PAUSE").startswith("ok")
+        wait_until(lambda: fleet.all_see_state(2, "left"), "all members to see the paused member as left")
+        assert fleet.processes[2].admin_request("RESUME").startswith("ok")
+        wait_until(lambda: fleet.all_see_state(2, "alive"), "all members to see the resumed member as alive")
 
 
-def test_one_that_receives_from_nobody_declares_nobody_dead(tmp_path: Path) -> None:
-    with fleet(tmp_path, 4) as made:
-        FaultInjector(made).inject(
+def test_member_without_incoming_messages_declares_no_member_dead(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 4) as fleet:
+        FaultInjector(fleet).inject(
             Fault(at_s=0, action="cut", targets=[1, 2, 3], destinations=[0], bidirectional=False)
         )
-        made.processes[0].wait_for_log("isolated from peers")
-        assert "dead" not in (made.view(0) or ())
-        FaultInjector(made).inject(Fault(at_s=0, action="heal"))
-        made.processes[0].wait_for_log("isolation from peers ended")
-        wait_until(lambda: one_view(made), "one view")
+        fleet.processes[0].wait_for_log("isolated from peers")
+        assert "dead" not in (fleet.view(0) or ())
+        FaultInjector(fleet).inject(Fault(at_s=0, action="heal"))
+        fleet.processes[0].wait_for_log("isolation from peers ended")
+        wait_until(lambda: all_live_see_each_other(fleet), "all live members to see each other as alive")
 
 
-def test_one_that_nobody_receives_from_is_held_dead_and_declares_nobody_dead(tmp_path: Path) -> None:
-    with fleet(tmp_path, 4) as made:
-        FaultInjector(made).inject(
+def test_member_without_outgoing_messages_is_dead_and_declares_no_member_dead(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 4) as fleet:
+        FaultInjector(fleet).inject(
             Fault(at_s=0, action="cut", targets=[0], destinations=[1, 2, 3], bidirectional=False)
         )
-        wait_until(lambda: made.all_see_state(0, "dead"), "the unheard one to be held dead")
-        assert "dead" not in (made.view(0) or ())  # their messages come, though no acks of its own probes
-        FaultInjector(made).inject(Fault(at_s=0, action="heal"))
-        wait_until(lambda: one_view(made), "one view")
-
-
-def test_in_a_rough_network_a_death_is_known_and_the_living_come_to_one_view(tmp_path: Path) -> None:
-    with fleet(tmp_path, 5, loss_fraction=0.2, duplicate_fraction=0.2, late_fraction=0.2) as made:
-        made.kill(4)
-        wait_until(lambda: made.all_see_state(4, "dead"), "the death to be known")
-        wait_until(lambda: one_view(made), "one view")
-
-
-def test_most_killed_at_once_shares_grow_by_agreement_and_shrink_when_they_are_back(tmp_path: Path) -> None:
-    with fleet(tmp_path, 6, MembershipUses(turns=True, thread_limit=True, quotas=True)) as made:
-        for n in (1, 2, 4, 5):
-            made.kill(n)
-        wait_until(lambda: all(made.all_see_state(n, "dead") for n in (1, 2, 4, 5)), "all deaths to be known")
-        for n in (0, 3):  # two of six live; fewer than half are never counted
-            seen = partial(made.processes[n].admin_request, "PEERS")
-            wait_until(lambda seen=seen: "divided by 3" in seen(), "its share to grow")  # type: ignore[misc]
-            assert not made.processes[n].logged("fleet size in use", count=2)
-        for n in (1, 2, 4, 5):
-            made.start(n)
-        wait_until(lambda: one_view(made), "all to be back")
-        for n in (0, 3):
-            wait_until(lambda n=n: "divided by 6" in made.processes[n].admin_request("PEERS"), "all to count")  # type: ignore[misc]
-
-
-def test_two_halves_with_deaths_leaves_and_returns_on_the_far_side_heal_to_one_view(tmp_path: Path) -> None:
-    with fleet(tmp_path, 7) as made:  # on the far side two go on, as one by itself would give nobody up
-        FaultInjector(made).inject(Fault(at_s=0, action="cut", targets=[0, 1, 2]))
-        made.kill(3)
-        made.leave(5)
-        wait_until(lambda: made.state_seen_by(4, 5) == "left", "the leave on the far side")
+        wait_until(lambda: fleet.all_see_state(0, "dead"), "all members to see member 0 as dead")
+        assert "dead" not in (fleet.view(0) or ())  # it receives messages, but no acks
+        FaultInjector(fleet).inject(Fault(at_s=0, action="heal"))
+        wait_until(lambda: all_live_see_each_other(fleet), "all live members to see each other as alive")
+
+
+def test_crash_is_detected_with_lost_duplicate_and_late_messages(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 5, loss_fraction=0.2, duplicate_fraction=0.2, late_fraction=0.2) as fleet:
+        fleet.kill(4)
+        wait_until(lambda: fleet.all_see_state(4, "dead"), "all members to see the killed member as dead")
+        wait_until(lambda: all_live_see_each_other(fleet), "all live members to see each other as alive")
+
+
+def test_shares_grow_after_simultaneous_crashes_and_shrink_after_restarts(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 6, MembershipUses(turns=True, thread_limit=True, quotas=True)) as fleet:
+        killed = (1, 2, 4, 5)
+        for member in killed:
+            fleet.kill(member)
+        wait_until(
+            lambda: all(fleet.all_see_state(member, "dead") for member in killed),
+            "the remaining members to see all killed members as dead",
+        )
+        for member in (0, 3):  # two of six are live, but at least half are always counted
+            peers_answer = partial(fleet.processes[member].admin_request, "PEERS")
+            wait_until(
+                lambda peers_answer=peers_answer: "divided by 3" in peers_answer(),  # type: ignore[misc]
+                f"a fleet size of 3 at member {member}",
+            )
+            assert not fleet.processes[member].logged("fleet size in use", count=2)
+        for member in killed:
+            fleet.start(member)
+        wait_until(lambda: all_live_see_each_other(fleet), "all members to see each other as alive")
+        for member in (0, 3):
+            peers_answer = partial(fleet.processes[member].admin_request, "PEERS")
+            wait_until(
+                lambda peers_answer=peers_answer: "divided by 6" in peers_answer(),  # type: ignore[misc]
+                f"a fleet size of 6 at member {member}",
+            )
+
+
+def test_halves_of_a_partition_merge_after_changes_on_one_side(tmp_path: Path) -> None:
+    # Members 4 and 6 stay on one side, as a single member would count itself as isolated.
+    with running_fleet(tmp_path, 7) as fleet:
+        FaultInjector(fleet).inject(Fault(at_s=0, action="cut", targets=[0, 1, 2]))
+        fleet.kill(3)
+        fleet.leave(5)
+        wait_until(lambda: fleet.state_seen_by(4, 5) == "left", "member 4 to see member 5 as left")
+        wait_until(
+            lambda: fleet.state_seen_by(0, 4) == "dead" == fleet.state_seen_by(4, 0),
+            "members 0 and 4 to see each other as dead",
+        )
+        fleet.start(3)
         wait_until(
-            lambda: made.state_seen_by(0, 4) == "dead" == made.state_seen_by(4, 0),
-            "the halves to hold each other dead",
+            lambda: fleet.state_seen_by(4, 3) == "alive", "member 4 to see the restarted member 3 as alive"
         )
-        made.start(3)
-        wait_until(lambda: made.state_seen_by(4, 3) == "alive", "the return on the far side")
-        FaultInjector(made).inject(Fault(at_s=0, action="heal"))
-        wait_until(lambda: one_view(made), "one view")
+        FaultInjector(fleet).inject(Fault(at_s=0, action="heal"))
+        wait_until(lambda: all_live_see_each_other(fleet), "all live members to see each other as alive")
         wait_until(
-            lambda: all(made.state_seen_by(n, 5) in ("left", "dead") for n in (0, 1, 2, 3, 4, 6)),
-            "the one that left",
+            lambda: all(fleet.state_seen_by(viewer, 5) in ("left", "dead") for viewer in (0, 1, 2, 3, 4, 6)),
+            "all members to see member 5 as left or dead",
         )
 
 
-def test_a_liar_kills_nobody_and_another_keeps_no_dead_alive(tmp_path: Path) -> None:
-    with fleet(tmp_path, 6) as made:
-        FaultInjector(made).inject(Fault(at_s=0, action="lie", targets=[1], lie="all dead"))
-        FaultInjector(made).inject(Fault(at_s=0, action="lie", targets=[2], lie="dead live"))
-        made.kill(5)
+def test_false_updates_of_single_members_are_tolerated(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 6) as fleet:
+        FaultInjector(fleet).inject(Fault(at_s=0, action="lie", targets=[1], lie="all dead"))
+        FaultInjector(fleet).inject(Fault(at_s=0, action="lie", targets=[2], lie="dead live"))
+        fleet.kill(5)
         wait_until(
-            lambda: all(made.state_seen_by(n, 5) == "dead" for n in (0, 3, 4)), "the death to be known"
+            lambda: all(fleet.state_seen_by(viewer, 5) == "dead" for viewer in (0, 3, 4)),
+            "members 0, 3 and 4 to see member 5 as dead",
         )
         wait_until(
-            lambda: all(made.state_seen_by(a, b) == "alive" for a in (0, 3, 4) for b in range(5)),
-            "the living",
+            lambda: all(
+                fleet.state_seen_by(viewer, member) == "alive" for viewer in (0, 3, 4) for member in range(5)
+            ),
+            "members 0, 3 and 4 to see members 0 to 4 as alive",
         )
 
 
-def test_an_older_version_beside_new_ones_is_harmed_by_nothing_and_harms_nothing(tmp_path: Path) -> None:
+def test_front_end_of_an_older_version_works_beside_newer_ones(tmp_path: Path) -> None:
     uses = MembershipUses(turns=True, thread_limit=True, quotas=True, outliers=True)
-    with fleet(tmp_path, 4, uses, warehouses=2, legacy_members=[3]) as made:
-        old = made.processes[3]
-        client = ThriftClient(made.test_beds[3].address)
+    with running_fleet(tmp_path, 4, uses, warehouses=2, legacy_members=[3]) as fleet:
+        legacy_process = fleet.processes[3]
+        client = ThriftClient(fleet.test_beds[3].address)
         reply = client.wait_for_reply(client.send_request(1))
         assert reply is not None
         assert reply.kind == "answer"
-        made.kill(1)
-        wait_until(lambda: made.all_see_state(1, "dead", but=(1,)), "the death to be known")
-        made.start(1)
+        fleet.kill(1)
+        wait_until(lambda: fleet.all_see_state(1, "dead", but=(1,)), "all members to see member 1 as dead")
+        fleet.start(1)
         wait_until(
-            lambda: all(made.state_seen_by(n, m) == "alive" for n in (0, 1, 2) for m in (0, 1, 2)),
-            "its return",
+            lambda: all(
+                fleet.state_seen_by(viewer, member) == "alive" for viewer in (0, 1, 2) for member in (0, 1, 2)
+            ),
+            "members 0 to 2 to see each other as alive",
         )
-        # To an older one the new messages are another version's, and it serves on.
-        assert old.admin_request("PEERS").startswith("fail")
-        assert old.admin_request("STATUS").startswith("ok")
+        # The older version drops the messages of the newer one and still serves requests.
+        assert legacy_process.admin_request("PEERS").startswith("fail")
+        assert legacy_process.admin_request("STATUS").startswith("ok")
         reply = client.wait_for_reply(client.send_request(2))
         assert reply is not None
         assert reply.kind == "answer"
-        assert not [line for line in old.log_lines if line.get("level") in ("error", "critical")]
+        assert not [line for line in legacy_process.log_lines if line.get("level") in ("error", "critical")]
         client.close()
 
 
 class Clients:
-    """A client of each front end; each request is of another table group."""
-
-    def __init__(self, made: Fleet) -> None:
-        self._clients = [ThriftClient(world.address) for world in made.test_beds]
-        self._number = 0
-
-    def ask(self, *fronts: int) -> None:
-        """Send a lookup to each of these front ends; some engine serves it."""
-        for front in fronts:
-            self._number += 1
-            client = self._clients[front]
-            reply = client.wait_for_reply(client.send_request(self._number, group=self._number))
+    """One client per front end; each request has another table group."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._clients = [ThriftClient(test_bed.address) for test_bed in fleet.test_beds]
+        self._last_request = 0
+
+    def send_lookups(self, *front_ends: int) -> None:
+        """Send a lookup to each of these front ends, and check that an engine serves it."""
+        for front_end in front_ends:
+            self._last_request += 1
+            client = self._clients[front_end]
+            reply = client.wait_for_reply(client.send_request(self._last_request, group=self._last_request))
             assert reply is not None
             assert reply.kind == "answer"
 
 
-def test_what_some_can_not_reach_another_tries_with_one_short_read(tmp_path: Path) -> None:
-    with fleet(tmp_path, 4, MembershipUses(outliers=True), warehouses=3) as made:
-        FaultInjector(made).inject(Fault(at_s=0, action="shut", targets=[0]))
-        bad = made.services.warehouses["s-1"]
-        clients, last = Clients(made), made.processes[3]
+def test_engine_reported_by_other_front_ends_is_an_outlier_until_it_responds(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 4, MembershipUses(outliers=True), warehouses=3) as fleet:
+        FaultInjector(fleet).inject(Fault(at_s=0, action="shut", targets=[0]))
+        unreachable = fleet.services.warehouses["s-1"]
+        clients, observer = Clients(fleet), fleet.processes[3]
 
         def reported() -> bool:
-            clients.ask(0, 1, 2)
-            return bool(last.logged("outlier reported by peers", warehouse=bad.address))
+            clients.send_lookups(0, 1, 2)
+            return bool(observer.logged("outlier reported by peers", warehouse=unreachable.address))
 
         def cleared() -> bool:
-            clients.ask(0, 1, 2, 3)
-            return bool(last.logged("outlier cleared"))
+            clients.send_lookups(0, 1, 2, 3)
+            return bool(observer.logged("outlier cleared"))
 
-        def works_again() -> bool:
-            clients.ask(3)
-            return bool(bad.received)
+        def receives_requests() -> bool:
+            clients.send_lookups(3)
+            return bool(unreachable.received)
 
-        wait_until(reported, "the last one to learn of it; it has asked for nothing itself")
-        assert "doubted: " + bad.address in last.admin_request("PEERS")
-        FaultInjector(made).inject(Fault(at_s=0, action="open", targets=[0]))
-        wait_until(cleared, "its own answer, or time, to clear the outlier")
-        wait_until(works_again, "work at the healthy warehouse again")
+        wait_until(reported, "front end 3, which sent no requests, to log the outlier")
+        assert "doubted: " + unreachable.address in observer.admin_request("PEERS")
+        FaultInjector(fleet).inject(Fault(at_s=0, action="open", targets=[0]))
+        wait_until(cleared, "front end 3 to clear the outlier")
+        wait_until(receives_requests, "the recovered warehouse to receive requests")
 
 
-def test_what_some_can_not_reach_is_not_reported_where_that_is_off(tmp_path: Path) -> None:
-    with fleet(tmp_path, 4, MembershipUses(outliers=False), warehouses=3) as made:
-        FaultInjector(made).inject(Fault(at_s=0, action="shut", targets=[0]))
-        clients = Clients(made)
+def test_unreachable_engine_is_not_reported_if_outliers_are_off(tmp_path: Path) -> None:
+    with running_fleet(tmp_path, 4, MembershipUses(outliers=False), warehouses=3) as fleet:
+        FaultInjector(fleet).inject(Fault(at_s=0, action="shut", targets=[0]))
+        clients = Clients(fleet)
         for _ in range(20):
-            clients.ask(0, 1, 2)
-        assert not any(process.logged("outlier reported by peers") for process in made.processes)
+            clients.send_lookups(0, 1, 2)
+        assert not any(process.logged("outlier reported by peers") for process in fleet.processes)
--- a/tests/membership/test_pinned_datagrams.py
+++ b/tests/membership/test_pinned_datagrams.py
@@ -1,7 +1,7 @@
-"""Datagrams of peers, byte for byte: an earlier version must be understood and must understand this one.
+"""Compatibility of datagrams with earlier versions, compared byte for byte with recorded ones.
 
-`datagrams.json` holds datagrams and what each says; `runs.json` the hashes of all datagrams, and of the views
-that they lead to, of seeded runs on a virtual clock.
+`datagrams.json` contains datagrams and the messages that they encode. `runs.json` contains hashes of all
+datagrams and of the resulting views of seeded runs on a virtual clock.
 """
 
 import hashlib
@@ -35,14 +35,14 @@
 FIXTURES = Path(__file__).parent.parent / "fixtures" / "membership"
 KEYS = {3: b"k" * 32, 4: b"l" * 32}
 WALL_S = 1_800_000_000.0
-US = 1_000_000
+US_PER_S = 1_000_000
 ALL_USES = MembershipUses(turns=True, thread_limit=True, quotas=True, outliers=True)
 SAVED: dict[str, Any] = json.loads((FIXTURES / "datagrams.json").read_text())
 RUNS: dict[str, Any] = json.loads((FIXTURES / "runs.json").read_text())
 
 
 # ---- version 2 -------------------------------------------------------------------------------
-BUILDERS: dict[int, Callable[..., messages.Item]] = {  # by the numbers of the kinds of items
+BUILDERS: dict[int, Callable[..., messages.Item]] = {  # by the number of the item's kind
     1: messages.Ping,
     2: messages.Ack,
     3: messages.PingRequest,
@@ -50,15 +50,15 @@
         member, incarnation, messages.MemberState(state)
     ),
     5: lambda data: messages.LoadReports(bytes.fromhex(data)),
-    6: lambda entries: messages.OutlierReport(tuple(tuple(one) for one in entries)),
-    7: lambda member, low, state: messages.CompactUpdate(member, low, messages.MemberState(state)),
+    6: lambda entries: messages.OutlierReport(tuple(tuple(entry) for entry in entries)),
+    7: lambda member, low_bits, state: messages.CompactUpdate(member, low_bits, messages.MemberState(state)),
     8: lambda state, blocks: messages.MemberBitmap(
-        messages.MemberState(state), tuple(messages.BitmapBlock(*b) for b in blocks)
+        messages.MemberState(state), tuple(messages.BitmapBlock(*block) for block in blocks)
     ),
     9: messages.FleetSizeReport,
-    10: lambda stage, seq, offers: messages.StateDigest(stage, seq, tuple(tuple(one) for one in offers)),
+    10: lambda stage, seq, offers: messages.StateDigest(stage, seq, tuple(tuple(offer) for offer in offers)),
     11: messages.ChunkRequest,
-    12: lambda kind, check, offset, data: messages.StateChunk(kind, check, offset, bytes.fromhex(data)),
+    12: lambda kind, checksum, offset, data: messages.StateChunk(kind, checksum, offset, bytes.fromhex(data)),
 }
 
 
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("name", SAVED["version 2"])
-def test_a_saved_datagram_is_read_as_what_it_said_and_written_the_same(name: str) -> None:
+def test_recorded_datagram_is_decoded_and_encoded_unchanged(name: str) -> None:
     saved = SAVED["version 2"][name]
     data, message = bytes.fromhex(saved["hex"]), message_of(saved["message"])
     assert codec.decode(data, None if message.key_id is None else KEYS) == message
@@ -81,13 +81,13 @@
 
 
 @pytest.mark.parametrize("name", SAVED["read alone"])
-def test_a_saved_datagram_of_a_later_version_is_read_as_far_as_it_is_known(name: str) -> None:
+def test_known_items_of_a_recorded_later_datagram_are_decoded(name: str) -> None:
     saved = SAVED["read alone"][name]
     assert codec.decode(bytes.fromhex(saved["hex"])) == message_of(saved["message"])
 
 
 @pytest.mark.parametrize("name", SAVED["malformed"])
-def test_a_saved_datagram_that_is_malformed_is_refused_for_the_same_reason(name: str) -> None:
+def test_recorded_malformed_datagram_is_rejected_for_the_same_reason(name: str) -> None:
     saved = SAVED["malformed"][name]
     with pytest.raises(codec.CodecError) as problem:
         codec.decode(bytes.fromhex(saved["hex"]), KEYS if saved["keys"] else None)
@@ -95,73 +95,90 @@
 
 
 # ---- version 1 -------------------------------------------------------------------------------
-def load_gossip() -> LoadGossip:
+def make_load_gossip() -> LoadGossip:
     limits = PolicyLimits(max_attempts=4, may_cancel=True, may_gossip=True)
     return LoadGossip(policy_settings(SHORT, limits=limits, gateway_count=200, gateway_index=5), 7)
 
 
-def load_gossip_run() -> list[tuple[int | None, str]]:
-    gossip = load_gossip()
+def sent_load_reports() -> list[tuple[int | None, str]]:
+    gossip = make_load_gossip()
     gossip.set_engines([*range(1, 60), 7 + (1 << 32)], True)
     for engine in range(1, 60):
-        gossip.record(engine, 0.13 * engine - 0.2, 100 * US + 170_000 * engine)
+        gossip.record(engine, 0.13 * engine - 0.2, 100 * US_PER_S + 170_000 * engine)
     sent = []
     for request in range(9):
-        for action in gossip.count_request(112 * US + 333_333 * request):
+        for action in gossip.count_request(112 * US_PER_S + 333_333 * request):
             assert isinstance(action, SendPeerMessage)
             sent.append((action.peer, action.data.hex()))
     return sent
 
 
-def load_gossip_received(data: bytes) -> list[list[float]]:
-    gossip = load_gossip()
+def received_load_reports(data: bytes) -> list[list[float]]:
+    gossip = make_load_gossip()
     gossip.set_engines([*range(1, 60), 7 + (1 << 32)], True)
-    return [list(one) for one in gossip.receive(120 * US, data)]
+    return [list(report) for report in gossip.receive(120 * US_PER_S, data)]
 
 
-def test_load_reports_are_written_as_the_saved_ones() -> None:
-    assert load_gossip_run() == [(one["peer"], one["hex"]) for one in SAVED["version 1"]]
+def test_load_reports_are_encoded_as_recorded() -> None:
+    assert sent_load_reports() == [(saved["peer"], saved["hex"]) for saved in SAVED["version 1"]]
 
 
 @pytest.mark.parametrize("index", range(len(SAVED["version 1"])))
-def test_saved_load_reports_are_read_as_what_they_said(index: int) -> None:
+def test_recorded_load_reports_are_decoded(index: int) -> None:
     saved = SAVED["version 1"][index]
-    assert load_gossip_received(bytes.fromhex(saved["hex"])) == saved["reports"]
+    assert received_load_reports(bytes.fromhex(saved["hex"])) == saved["reports"]
 
 
-# ---- what the detector sends -----------------------------------------------------------------
+# ---- datagrams that the detector sends -------------------------------------------------------
 class Node:
-    """One front end: the detector and what rides in its messages."""
+    """One front end: a failure detector, and the fleet size and outlier gossip in its messages."""
 
-    def __init__(self, own: int, members: int, life: int, now: float, keys: dict[int, bytes]) -> None:
+    def __init__(self, member: int, members: int, restarts: int, now: float, keys: dict[int, bytes]) -> None:
         self.now = now
-        self.view = MembershipView(members, own, now)
-        made = MembershipSettings(enabled=True, uses=ALL_USES)
+        self.view = MembershipView(members, member, now)
+        settings = MembershipSettings(enabled=True, uses=ALL_USES)
         self.detector = FailureDetector(
-            self.view, made, 100 * own + life, now, lambda: WALL_S + self.now + life, keys
+            self.view,
+            settings,
+            100 * member + restarts,
+            now,
+            lambda: WALL_S + self.now + restarts,
+            keys,
         )
-        self.fleet_size = FleetSize(members, own)
+        self.fleet_size = FleetSize(members, member)
         self.outliers = OutlierGossip()
-        self.outliers.set_engines({n: n % 3 for n in range(1, 31)})
+        self.outliers.set_engines({engine: engine % 3 for engine in range(1, 31)})
         self.changes: list[tuple[int, list[int]]] = []
-        self.use = MembershipIntegration(ALL_USES, self.fleet_size, self.outliers, self.detector, self)
-        for engine in range(1, 1 + own % 5):
+        self.integration = MembershipIntegration(
+            ALL_USES, self.fleet_size, self.outliers, self.detector, self
+        )
+        for engine in range(1, 1 + member % 5):
             reason = OutlierReason.UNREACHABLE if engine % 2 else OutlierReason.FAILING
-            self.outliers.record_failure(engine, reason, int(now * US))
+            self.outliers.record_failure(engine, reason, int(now * US_PER_S))
 
     def on_decisions_change(self, fleet_size: int, outliers: frozenset[int]) -> None:
         self.changes.append((fleet_size, sorted(outliers)))
 
     def state(self) -> str:
-        held = [[update.member, update.incarnation, int(update.state)] for update in self.view]
+        members = [[update.member, update.incarnation, int(update.state)] for update in self.view]
         detector = self.detector
         return json.dumps(
-            [held, sorted(detector.rejected.items()), detector.sent_bytes, detector.incarnation, self.changes]
+            [
+                members,
+                sorted(detector.rejected.items()),
+                detector.sent_bytes,
+                detector.incarnation,
+                self.changes,
+            ]
         )
 
 
 class Tier:
-    """Nodes on one clock, with a tenth of the messages lost; the hash is of all that is sent, in order."""
+    """Nodes on a virtual clock with 10% message loss.
+
+    Attributes:
+        digest: Hash of all sent datagrams in order, with their times, senders and receivers.
+    """
 
     def __init__(self, members: int, keys: dict[int, bytes]) -> None:
         self.random, self.order, self.now = random.Random(members), count(), 0.0
@@ -169,13 +186,13 @@
         self.digest = hashlib.sha256()
         self.datagrams = 0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
-        self.nodes: list[Node | None] = [Node(n, members, 0, 0.0, keys) for n in range(members)]
+        self.nodes: list[Node | None] = [Node(member, members, 0, 0.0, keys) for member in range(members)]
         self.stopped: set[int] = set()
-        for n in range(members):
-            self.at(0.0, lambda n=n: self.tick(n, self.nodes[n]))  # type: ignore[misc]
+        for member in range(members):
+            self.at(0.0, lambda member=member: self.tick(member, self.nodes[member]))  # type: ignore[misc]
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (when, next(self.order), call))
+    def at(self, time_s: float, callback: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (time_s, next(self.order), callback))
 
     def send(self, sender: int, sends: list[OutgoingDatagram]) -> None:
         for peer, data in sends:
@@ -193,58 +210,58 @@
             node.now = self.now
             self.send(peer, node.detector.receive(self.now, sender, data))
 
-    def tick(self, own: int, node: Node | None) -> None:
-        if node is None or self.nodes[own] is not node:
+    def tick(self, member: int, node: Node | None) -> None:
+        if node is None or self.nodes[member] is not node:
             return
-        if own not in self.stopped:
+        if member not in self.stopped:
             node.now = self.now
-            self.send(own, node.detector.tick(self.now))
-            node.use.refresh(self.now)
-        due = node.detector.next_deadline() if own not in self.stopped else self.now + 0.1
-        self.at(max(due, self.now + 0.01), lambda: self.tick(own, node))
+            self.send(member, node.detector.tick(self.now))
+            node.integration.refresh(self.now)
+        deadline = node.detector.next_deadline() if member not in self.stopped else self.now + 0.1
+        self.at(max(deadline, self.now + 0.01), lambda: self.tick(member, node))
 
-    def leave(self, own: int) -> None:
-        node = self.nodes[own]
+    def leave(self, member: int) -> None:
+        node = self.nodes[member]
         assert node is not None
-        self.send(own, node.detector.leave(self.now))
+        self.send(member, node.detector.leave(self.now))
 
-    def come_back(self, own: int) -> None:
-        node = self.nodes[own]
+    def rejoin(self, member: int) -> None:
+        node = self.nodes[member]
         assert node is not None
-        self.send(own, node.detector.rejoin(self.now))
+        self.send(member, node.detector.rejoin(self.now))
 
-    def kill(self, own: int) -> None:
-        self.nodes[own] = None
+    def kill(self, member: int) -> None:
+        self.nodes[member] = None
 
-    def start(self, own: int) -> None:
-        node = Node(own, self.members, 1, self.now, self.keys)
-        self.nodes[own] = node
-        self.tick(own, node)
+    def start(self, member: int) -> None:
+        node = Node(member, self.members, 1, self.now, self.keys)
+        self.nodes[member] = node
+        self.tick(member, node)
 
     def forge(self, sender: int, peer: int) -> None:
-        """Random items, as if of a member: what is refused and what is believed is part of the state."""
+        """Deliver a message with random items that seems to be from `sender`."""
         rng = self.random
         states = [messages.MemberState.SUSPECT, messages.MemberState.DEAD, messages.MemberState.LEFT]
         items: list[messages.Item] = []
         for _ in range(4):
             member = rng.randrange(self.members + 2)
             node = self.nodes[peer]
-            held = node.view.incarnations[member] if node is not None and member < self.members else 9
-            items.append(messages.MemberUpdate(member, held + rng.choice([0, 1, 90]), rng.choice(states)))
-            items.append(messages.CompactUpdate(member, held & 0x3F, rng.choice(states)))
+            known = node.view.incarnations[member] if node is not None and member < self.members else 9
+            items.append(messages.MemberUpdate(member, known + rng.choice([0, 1, 90]), rng.choice(states)))
+            items.append(messages.CompactUpdate(member, known & 0x3F, rng.choice(states)))
         items.append(
             messages.MemberBitmap(rng.choice(states), (messages.BitmapBlock(0, 6, rng.randrange(256)),))
         )
         items.append(messages.PingRequest(rng.randrange(1000), rng.randrange(self.members)))
-        number = 1 << 20 | rng.randrange(1 << 20)
-        message = messages.Message(sender, int(WALL_S), number, int(WALL_S + self.now), tuple(items))
+        sequence = 1 << 20 | rng.randrange(1 << 20)
+        message = messages.Message(sender, int(WALL_S), sequence, int(WALL_S + self.now), tuple(items))
         key = next(iter(self.keys.items()), None)
         self.receive(peer, sender, codec.encode(message, key))
 
     def run(self, seconds: float) -> None:
         while self.events and self.events[0][0] <= seconds:
-            self.now, _, call = heapq.heappop(self.events)
-            call()
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
 
 
 def tier_run(members: int, keys: dict[int, bytes], seconds: float) -> dict[str, Any]:
@@ -253,13 +270,13 @@
     tier.at(6.0, lambda: tier.kill(2))
     tier.at(7.5, lambda: tier.stopped.discard(1))
     tier.at(8.0, lambda: tier.leave(3))
-    for n in range(6):
-        tier.at(9.0 + 0.3 * n, lambda n=n: tier.forge(4, 5 + n % 2))  # type: ignore[misc]
+    for index in range(6):
+        tier.at(9.0 + 0.3 * index, lambda index=index: tier.forge(4, 5 + index % 2))  # type: ignore[misc]
     tier.at(12.0, lambda: tier.start(2))
-    tier.at(13.0, lambda: tier.come_back(3))
-    for n in range(members // 2, members // 2 + members // 5):
-        tier.at(14.0, lambda n=n: tier.stopped.add(n))  # type: ignore[misc]
-        tier.at(19.0, lambda n=n: tier.stopped.discard(n))  # type: ignore[misc]
+    tier.at(13.0, lambda: tier.rejoin(3))
+    for member in range(members // 2, members // 2 + members // 5):
+        tier.at(14.0, lambda member=member: tier.stopped.add(member))  # type: ignore[misc]
+        tier.at(19.0, lambda member=member: tier.stopped.discard(member))  # type: ignore[misc]
     tier.run(seconds)
     states = "\n".join("" if node is None else node.state() for node in tier.nodes)
     return {
@@ -269,14 +286,14 @@
     }
 
 
-class Recorded(DetectorMember):
-    """A member of the simulation, all of whose datagrams go into a hash."""
+class RecordingMember(DetectorMember):
+    """A simulated member that adds all of its sent datagrams to a hash."""
 
     digest: Any = None
 
     def _record(self, now: float, sends: list[OutgoingDatagram]) -> list[OutgoingDatagram]:
         for peer, data in sends:
-            self.digest.update(b"%d %d %d " % (round(now * 1e6), self.view.own, peer) + data)
+            self.digest.update(b"%d %d %d " % (round(now * 1e6), self.view.own_member, peer) + data)
         return sends
 
     def tick(self, now: float) -> list[OutgoingDatagram]:
@@ -290,13 +307,13 @@
 
 
 def simulation_run(members: int, lie: Any) -> dict[str, Any]:
-    """Cuts, liars, late and doubled messages, many deaths at once; two halves that find each other again."""
+    """A run with a partition that heals, false updates, late and duplicate messages, and many crashes."""
     digest = hashlib.sha256()
 
     def make(number: int, script: FaultScript, seed: int, now: float, clock: float) -> DetectorMember:
-        made = Recorded(number, script, seed, now, clock)
-        made.digest = digest
-        return made
+        member = RecordingMember(number, script, seed, now, clock)
+        member.digest = digest
+        return member
 
     faults = [
         Fault(at_s=3, action="lie", targets=[1], lie=lie),
@@ -319,41 +336,41 @@
     return {"datagrams": outcome.messages, "sent": digest.hexdigest()}
 
 
-class StillLoop:
-    """A clock that stands at one moment."""
+class StoppedLoop:
+    """An event loop whose time doesn't advance."""
 
     now = 2.5
 
 
-def service_lines() -> list[str]:
+def status_lines() -> list[str]:
     sent: list[tuple[int, bytes]] = []
-    passed: list[tuple[int, bytes]] = []
-    loop: Any = StillLoop()
-    made = MembershipSettings(enabled=True, uses=ALL_USES)
+    other_versions: list[tuple[int, bytes]] = []
+    loop: Any = StoppedLoop()
+    settings = MembershipSettings(enabled=True, uses=ALL_USES)
     fleet_size, outliers = FleetSize(5, 0), OutlierGossip()
     hooks = MembershipHooks(
         lambda *datagram: sent.append(datagram),
-        lambda *datagram: passed.append(datagram),
+        lambda *datagram: other_versions.append(datagram),
         lambda engine: f"engine-{engine}",
     )
-    service = MembershipService(loop, MemberConfig(made, 5, 0, 3, {}), fleet_size, outliers, hooks)
-    outliers.set_engines({n: n % 2 for n in range(1, 11)})
+    service = MembershipService(loop, MemberConfig(settings, 5, 0, 3, {}), fleet_size, outliers, hooks)
+    outliers.set_engines({engine: engine % 2 for engine in range(1, 11)})
     service.receive(1, b"\x01rest")
-    assert passed == [(1, b"\x01rest")]
-    base = int(WALL_S)
+    assert other_versions == [(1, b"\x01rest")]
+    start_s = int(WALL_S)
     report = messages.OutlierReport(((4, 1, 0), (6, 2, 0)))
-    update = messages.MemberUpdate(3, base + 3, messages.MemberState.LEFT)
+    update = messages.MemberUpdate(3, start_s + 3, messages.MemberState.LEFT)
     for sender in (1, 2):
         items = (
             report,
-            messages.MemberUpdate(sender, base, messages.MemberState.ALIVE),
+            messages.MemberUpdate(sender, start_s, messages.MemberState.ALIVE),
             update,
             messages.FleetSizeReport(3),
         )
-        service.receive(sender, codec.encode(messages.Message(sender, base + sender, 1, base, items)))
-    service.receive(3, codec.encode(messages.Message(3, base + 3, 1, base, (update,))))
+        service.receive(sender, codec.encode(messages.Message(sender, start_s + sender, 1, start_s, items)))
+    service.receive(3, codec.encode(messages.Message(3, start_s + 3, 1, start_s, (update,))))
     service.receive(2, b"\x02short")
-    service.receive(4, codec.encode(messages.Message(2, base + 2, 2, base, ())))
+    service.receive(4, codec.encode(messages.Message(2, start_s + 2, 2, start_s, ())))
     service.integration.refresh(loop.now)
     return service.status_lines()
 
@@ -369,10 +386,10 @@
 
 
 @pytest.mark.parametrize("name", RUNNERS)
-def test_a_seeded_run_sends_the_same_datagrams_in_the_same_order(name: str) -> None:
+def test_seeded_run_sends_the_recorded_datagrams(name: str) -> None:
     assert RUNNERS[name]() == RUNS[name]
 
 
-def test_the_operators_are_shown_the_same_lines(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_peers_command_answers_the_recorded_lines(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(time, "time", lambda: WALL_S)
-    assert service_lines() == RUNS["lines"]
+    assert status_lines() == RUNS["lines"]
--- a/tests/membership/test_replay_window.py
+++ b/tests/membership/test_replay_window.py
@@ -1,4 +1,4 @@
-"""Replayed messages are told from late ones."""
+"""The anti-replay window accepts late messages and rejects replayed ones."""
 
 import random
 
@@ -14,12 +14,12 @@
     return window
 
 
-def test_messages_in_any_order_are_accepted_once() -> None:
+def test_reordered_messages_are_accepted_once() -> None:
     window = shuffled_window()
     assert not any(window.accept(5, sequence) for sequence in range(40))
 
 
-def test_a_new_incarnation_ends_the_one_before_it() -> None:
+def test_messages_of_earlier_incarnations_are_rejected() -> None:
     window = shuffled_window()
     assert not window.accept(4, 100)
     assert window.accept(6, 0)
--- a/tests/membership/test_settings.py
+++ b/tests/membership/test_settings.py
@@ -1,4 +1,4 @@
-"""The membership file, the key file and the peers of the configuration."""
+"""Parsing of the membership settings, the key file and the peers in the configuration."""
 
 import json
 
@@ -9,29 +9,34 @@
 from lilacfront.membership.settings import MembershipSettings, MembershipSettingsError, parse, parse_keys
 
 
-def test_an_empty_file_leaves_membership_off() -> None:
+def test_membership_is_off_with_an_empty_file() -> None:
     assert parse(b"") == MembershipSettings()
     assert not MembershipSettings().enabled
 
 
-def test_the_keys_of_the_file_set_the_fields() -> None:
-    made = parse(
+def test_file_keys_set_the_fields() -> None:
+    settings = parse(
         b"[membership]\non = true\nperiod_s = 1.0\nanswer_s = 0.2\nhelpers = 4\nleast_s = 1.0\nmost_s = 5.0\n"
         b'bytes_per_s = 2000\nkeys = "file"\n'
         b"[membership.uses]\nturns = true\nbound = true\nallowances = true\ndoubts = true\n"
     )
-    assert (made.enabled, made.probe_interval_s, made.ack_timeout_s, made.indirect_probes) == (
+    assert (
+        settings.enabled,
+        settings.probe_interval_s,
+        settings.ack_timeout_s,
+        settings.indirect_probes,
+    ) == (
         True,
         1.0,
         0.2,
         4,
     )
-    assert (made.min_suspicion_s, made.max_suspicion_s, made.max_bytes_per_s) == (1.0, 5.0, 2000)
-    assert made.keys_path == "file"
-    assert made.uses.turns
-    assert made.uses.thread_limit
-    assert made.uses.quotas
-    assert made.uses.outliers
+    assert (settings.min_suspicion_s, settings.max_suspicion_s, settings.max_bytes_per_s) == (1.0, 5.0, 2000)
+    assert settings.keys_path == "file"
+    assert settings.uses.turns
+    assert settings.uses.thread_limit
+    assert settings.uses.quotas
+    assert settings.uses.outliers
 
 
 @pytest.mark.parametrize(
@@ -43,12 +48,12 @@
         (b"[membership]\nhlpers = 1", "hlpers"),
     ],
 )
-def test_an_error_names_the_key_of_the_file(text: bytes, expected: str) -> None:
+def test_error_names_the_key_in_the_file(text: bytes, expected: str) -> None:
     with pytest.raises(MembershipSettingsError, match=expected):
         parse(text)
 
 
-def test_keys_are_read_in_the_order_of_the_file() -> None:
+def test_keys_are_in_the_order_of_the_file() -> None:
     keys = parse_keys(b"# new\n4 " + b"ab" * 16 + b"\n3 " + b"cd" * 32)
     assert keys == {4: b"\xab" * 16, 3: b"\xcd" * 32}
     assert list(keys) == [4, 3]
@@ -62,17 +67,17 @@
         (b"", "no key"),
     ],
 )
-def test_an_error_of_the_key_file_names_the_line_and_holds_no_key(text: bytes, expected: str) -> None:
+def test_key_file_error_names_the_line_and_contains_no_key(text: bytes, expected: str) -> None:
     with pytest.raises(MembershipSettingsError, match=expected) as problem:
         parse_keys(text)
     assert "xy" not in str(problem.value)
 
 
 @pytest.mark.parametrize(
-    ("peers", "named"),
+    ("peers", "location"),
     [(["1.1.1.1:5", "nonsense"], "peers.1."), (["1.1.1.1:5", "1.1.1.1:6", "1.1.1.1:5"], "peers.0.")],
 )
-def test_peers_that_can_not_be_used_are_named(peers: list[str], named: str) -> None:
+def test_error_names_the_invalid_peer(peers: list[str], location: str) -> None:
     file = {"listen": "127.0.0.1:0", "seed": "a1", "settings": SETTINGS, "peers": peers}
-    with pytest.raises(configuration.ConfigError, match=named):
+    with pytest.raises(configuration.ConfigError, match=location):
         configuration.parse(json.dumps(file).encode(), {})
--- a/tests/recovery/test_state_exchange.py
+++ b/tests/recovery/test_state_exchange.py
@@ -83,7 +83,7 @@
     """A recovering front end to which many peers offered state that they never send."""
     front_end = InMemoryFrontEnd(0, recovering=True)
     for peer in range(200):
-        offers = ((StateKind.OPERATOR_ORDERS, peer, 60_000), (77, 1, 1))
+        offers = ((StateKind.OPERATOR_DIRECTIVES, peer, 60_000), (77, 1, 1))
         list(front_end.exchange.receive(0.0, peer, StateDigest(9, peer, offers)))
     return front_end
 
@@ -93,14 +93,14 @@
 
 
 def test_hostile_parts_and_requests_change_nothing(flooded: InMemoryFrontEnd) -> None:
-    list(flooded.exchange.receive(0.0, 1, StateChunk(StateKind.OPERATOR_ORDERS, 1, 0, b"\xff" * 180)))
-    list(flooded.exchange.receive(0.0, 1, StateChunk(StateKind.OPERATOR_ORDERS, 1, 9_000, b"x")))
+    list(flooded.exchange.receive(0.0, 1, StateChunk(StateKind.OPERATOR_DIRECTIVES, 1, 0, b"\xff" * 180)))
+    list(flooded.exchange.receive(0.0, 1, StateChunk(StateKind.OPERATOR_DIRECTIVES, 1, 9_000, b"x")))
     assert list(flooded.exchange.receive(0.0, 1, ChunkRequest(77, 1, 0))) == []
     assert not flooded.replicas
 
 
 def test_stalled_transfers_are_given_up(flooded: InMemoryFrontEnd) -> None:
-    list(flooded.exchange.receive(0.0, 1, StateChunk(StateKind.OPERATOR_ORDERS, 1, 0, b"\xff" * 180)))
+    list(flooded.exchange.receive(0.0, 1, StateChunk(StateKind.OPERATOR_DIRECTIVES, 1, 0, b"\xff" * 180)))
     assert flooded.exchange.retries_due(100.0) == []
     assert flooded.exchange.transfers_under_way == 0
 
