--- a/lilacfront/membership/probing.py
+++ b/lilacfront/membership/probing.py
@@ -179,7 +179,7 @@
         Only about MEAN_FINAL_PINGERS members do so, chosen at random: the acks of a thousand pings would use
         up the rate limit of the suspect, and it could neither refute nor probe.
         """
-        suspicion.has_final_ping = True
+        suspicion.final_ping_decided = True
         is_drawn = self._node.random.random() * self._node.member_count < MEAN_FINAL_PINGERS
         if not is_drawn or len(self._suspicions.active) >= MASS_FAILURE_MIN:
             return []
@@ -197,7 +197,7 @@
             if now >= expires_at:
                 reason = "suspicion timed out"
                 self._suspicions.declare_dead(member, suspicion.incarnation, now, reason)
-            elif now >= expires_at - FINAL_PING_LEAD_S and not suspicion.has_final_ping:
+            elif now >= expires_at - FINAL_PING_LEAD_S and not suspicion.final_ping_decided:
                 sends += self.ping_suspect(now, member, suspicion)
         return sends
 
--- a/lilacfront/membership/reception.py
+++ b/lilacfront/membership/reception.py
@@ -32,8 +32,8 @@
 from lilacfront.membership.update_packing import Gossip, UpdatePacker
 from lilacfront.membership.update_rules import UpdateRules
 
-MAX_MESSAGE_AGE_S = 30  # maximum difference of the wall clocks plus delay, for tagged messages
-MAX_CORRECTIONS = 16  # maximum number of updates in the answer to an outdated bitmap
+MAX_MESSAGE_AGE_S = 30  # maximum difference of a tagged message's timestamp from the wall clock
+MAX_CORRECTIONS = 16  # maximum number of updates that answer an outdated bitmap
 MIN_CORRECTION_INTERVAL_S = 0.2  # minimum time between two corrections to the same member
 
 Handler = Callable[[float, int, Any], list[OutgoingDatagram]]  # (time, sender, item)
@@ -64,7 +64,7 @@
         if message.sender != source or source == self._node.own_member or source >= self._node.member_count:
             return "another member's address"
         if has_keys and abs(self._node.wall_s() - message.sent_at_s) > MAX_MESSAGE_AGE_S:
-            return "sent too long ago"
+            return "timestamp out of range"
         window = self._replay_windows.get(source)
         if window is None:
             window = self._replay_windows[source] = ReplayWindow()
--- a/lilacfront/membership/service.py
+++ b/lilacfront/membership/service.py
@@ -189,13 +189,13 @@
 
     def _member_line(self, update: MemberUpdate) -> str:
         now, member = self.loop.now, update.member
-        contact_s = now - self.detector.last_contact_at[member]
-        since_s = now - self.view.state_since[member]
+        since_contact_s = now - self.detector.last_contact_at[member]
+        in_state_s = now - self.view.state_since[member]
         if member == self.view.own_member:
             contact = "itself"
-        elif contact_s < NEVER_S:
-            contact = f"heard {contact_s:.1f} s ago"
+        elif since_contact_s < NEVER_S:
+            contact = f"heard {since_contact_s:.1f} s ago"
         else:
             contact = "never heard"
         state = update.state.name.lower()
-        return f"{member} {state} incarnation={update.incarnation} for={since_s:.1f}s {contact}"
+        return f"{member} {state} incarnation={update.incarnation} for={in_state_s:.1f}s {contact}"
--- a/lilacfront/membership/suspicion.py
+++ b/lilacfront/membership/suspicion.py
@@ -28,14 +28,14 @@
         incarnation: The suspect incarnation; the member refutes with a higher one.
         began_at: Time at which the member became suspect, or of its last message if that is later.
         accusers: Members that reported it as suspect, at most MAX_CONFIRMATIONS + 1.
-        has_final_ping: Whether the final ping was considered, and sent if this front end was chosen to.
+        final_ping_decided: Whether this front end has decided at random whether to send a final ping.
         death_reporters: Members that reported it as dead.
     """
 
     incarnation: int
     began_at: float
     accusers: set[int] = field(default_factory=set)
-    has_final_ping: bool = False
+    final_ping_decided: bool = False
     death_reporters: set[int] = field(default_factory=set)
 
 
@@ -110,7 +110,7 @@
     def next_deadline(self, deadline: float) -> float:
         """The earliest of `deadline` and the times of final pings and of the ends of suspicions."""
         for suspicion in self.active.values():
-            lead_s = 0.0 if suspicion.has_final_ping else FINAL_PING_LEAD_S
+            lead_s = 0.0 if suspicion.final_ping_decided else FINAL_PING_LEAD_S
             deadline = min(deadline, self.expires_at(suspicion) - lead_s)
         return deadline
 
--- a/tests/membership/test_pinned_datagrams.py
+++ b/tests/membership/test_pinned_datagrams.py
@@ -37,8 +37,8 @@
 WALL_S = 1_800_000_000.0
 US_PER_S = 1_000_000
 ALL_USES = MembershipUses(turns=True, thread_limit=True, quotas=True, outliers=True)
-SAVED: dict[str, Any] = json.loads((FIXTURES / "datagrams.json").read_text())
-RUNS: dict[str, Any] = json.loads((FIXTURES / "runs.json").read_text())
+RECORDED_DATAGRAMS: dict[str, Any] = json.loads((FIXTURES / "datagrams.json").read_text())
+RECORDED_RUNS: dict[str, Any] = json.loads((FIXTURES / "runs.json").read_text())
 
 
 # ---- version 2 -------------------------------------------------------------------------------
@@ -69,9 +69,9 @@
     )
 
 
-@pytest.mark.parametrize("name", SAVED["version 2"])
+@pytest.mark.parametrize("name", RECORDED_DATAGRAMS["version 2"])
 def test_recorded_datagram_is_decoded_and_encoded_unchanged(name: str) -> None:
-    saved = SAVED["version 2"][name]
+    saved = RECORDED_DATAGRAMS["version 2"][name]
     data, message = bytes.fromhex(saved["hex"]), message_of(saved["message"])
     assert codec.decode(data, None if message.key_id is None else KEYS) == message
     assert (
@@ -80,15 +80,15 @@
     )
 
 
-@pytest.mark.parametrize("name", SAVED["read alone"])
+@pytest.mark.parametrize("name", RECORDED_DATAGRAMS["read alone"])
 def test_known_items_of_a_recorded_later_datagram_are_decoded(name: str) -> None:
-    saved = SAVED["read alone"][name]
+    saved = RECORDED_DATAGRAMS["read alone"][name]
     assert codec.decode(bytes.fromhex(saved["hex"])) == message_of(saved["message"])
 
 
-@pytest.mark.parametrize("name", SAVED["malformed"])
+@pytest.mark.parametrize("name", RECORDED_DATAGRAMS["malformed"])
 def test_recorded_malformed_datagram_is_rejected_for_the_same_reason(name: str) -> None:
-    saved = SAVED["malformed"][name]
+    saved = RECORDED_DATAGRAMS["malformed"][name]
     with pytest.raises(codec.CodecError) as problem:
         codec.decode(bytes.fromhex(saved["hex"]), KEYS if saved["keys"] else None)
     assert str(problem.value) == saved["reason"]
@@ -120,12 +120,12 @@
 
 
 def test_load_reports_are_encoded_as_recorded() -> None:
-    assert sent_load_reports() == [(saved["peer"], saved["hex"]) for saved in SAVED["version 1"]]
+    assert sent_load_reports() == [(saved["peer"], saved["hex"]) for saved in RECORDED_DATAGRAMS["version 1"]]
 
 
-@pytest.mark.parametrize("index", range(len(SAVED["version 1"])))
+@pytest.mark.parametrize("index", range(len(RECORDED_DATAGRAMS["version 1"])))
 def test_recorded_load_reports_are_decoded(index: int) -> None:
-    saved = SAVED["version 1"][index]
+    saved = RECORDED_DATAGRAMS["version 1"][index]
     assert received_load_reports(bytes.fromhex(saved["hex"])) == saved["reports"]
 
 
@@ -387,9 +387,9 @@
 
 @pytest.mark.parametrize("name", RUNNERS)
 def test_seeded_run_sends_the_recorded_datagrams(name: str) -> None:
-    assert RUNNERS[name]() == RUNS[name]
+    assert RUNNERS[name]() == RECORDED_RUNS[name]
 
 
 def test_peers_command_answers_the_recorded_lines(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(time, "time", lambda: WALL_S)
-    assert status_lines() == RUNS["lines"]
+    assert status_lines() == RECORDED_RUNS["lines"]
