--- a/lilacfront/recovery/state_exchange.py
+++ b/lilacfront/recovery/state_exchange.py
@@ -129,7 +129,7 @@
         if room >= ITEM_HEADER_BYTES + DIGEST.size + OFFERS_PER_DIGEST * OFFER.size:
             seq = self._state.ready_list().seq
             offers = (
-                self._offer(StateKind.OPERATOR_ORDERS, _ANY_PEER),
+                self._offer(StateKind.OPERATOR_DIRECTIVES, _ANY_PEER),
                 self._offer(StateKind.ENDPOINT_LIST, _ANY_PEER),
             )
             yield StateDigest(self._state.stage_number(), seq & SHORT_ID_MASK, offers)
@@ -154,7 +154,7 @@
         encoded = self._encoded.get(key)
         if encoded is None:
             match kind:
-                case StateKind.OPERATOR_ORDERS:
+                case StateKind.OPERATOR_DIRECTIVES:
                     encoded = encode_directives(self._state.own_directives())
                 case StateKind.REPLICA:
                     encoded = encode_directives(self._state.peer_directives().get(peer, {}).values())
@@ -174,7 +174,7 @@
     def _should_fetch(self, now: float, peer: int, kind: int, checksum: int, seq: int) -> bool:
         """Whether to fetch a state that a peer offers."""
         match kind:
-            case StateKind.OPERATOR_ORDERS:
+            case StateKind.OPERATOR_DIRECTIVES:
                 unchanged_checksum, until = self._unchanged_fetches.get(peer, (_NO_CHECKSUM, 0.0))
                 # The checksum doesn't show which side is newer; merging by revision does.
                 differ = self._checksum(StateKind.REPLICA, peer) != checksum
@@ -187,7 +187,7 @@
 
     def _should_fetch_replica(self, peer: int, checksum: int) -> bool:
         """Whether to fetch a peer's replica of the directives to this front end."""
-        if self._checksum(StateKind.OPERATOR_ORDERS, _ANY_PEER) == checksum:
+        if self._checksum(StateKind.OPERATOR_DIRECTIVES, _ANY_PEER) == checksum:
             self.disagreeing_peers.discard(peer)
             return False
         if not self._state.recovering():
@@ -199,9 +199,9 @@
         if request.kind not in (*StateKind,):
             return
         data = self._encode(StateKind(request.kind), peer)
-        if zlib.crc32(data) == request.check and request.offset < len(data) <= MAX_STATE_BYTES:
+        if zlib.crc32(data) == request.checksum and request.offset < len(data) <= MAX_STATE_BYTES:
             chunk = data[request.offset : request.offset + MAX_CHUNK_BYTES]
-            yield StateChunk(request.kind, request.check, request.offset, chunk)
+            yield StateChunk(request.kind, request.checksum, request.offset, chunk)
 
     def _receive_chunk(self, now: float, peer: int, chunk: StateChunk) -> Iterator[Item]:
         received = self._transfers.receive(now, peer, chunk)
@@ -209,14 +209,14 @@
             yield received
         elif received is not None:
             try:
-                yield from self._apply(now, peer, chunk.kind, received, chunk.check)
+                yield from self._apply(now, peer, chunk.kind, received, chunk.checksum)
             except msgspec.MsgspecError:
                 return  # drops state that another version or a malicious peer sent
 
     def _apply(self, now: float, peer: int, kind: int, data: bytes, checksum: int) -> Iterator[Item]:
         """Apply a completely received state; yields the items to send in answer."""
         match kind:
-            case StateKind.OPERATOR_ORDERS:
+            case StateKind.OPERATOR_DIRECTIVES:
                 self._state.merge_peer_directives(peer, decode_directives(data))
                 self.invalidate()
                 if self._checksum(StateKind.REPLICA, peer) != checksum:
