--- a/lilacfront/core/team_admission.py
+++ b/lilacfront/core/team_admission.py
@@ -77,12 +77,12 @@
                 self._executor.route(in_flight)
             else:
                 self._reject(in_flight, decision)
-        due = self._scheduler.next_due()
+        due = self._scheduler.next_tick_at()
         if due < self.due:
             self._timers.wake()
         self.due = due
 
     def _reject(self, in_flight: InFlightRequest, decision: RejectRequest) -> None:
         retry_after_ms = math.ceil(decision.retry_after_s * 1000)
-        wait_range_ms = (int(decision.wait.low * 1000), math.ceil(decision.wait.high * 1000))
+        wait_range_ms = (int(decision.retry_wait.low * 1000), math.ceil(decision.retry_wait.high * 1000))
         self._executor.decide(in_flight, Rejected(retry_after_ms, wait_range_ms))
--- a/lilacfront/discovery/change_log.py
+++ b/lilacfront/discovery/change_log.py
@@ -67,7 +67,7 @@
         is_caught_up: Whether what the log told while this process started has arrived, or is waited for no
             longer. Before, a request could be sent to an engine that drains.
         has_answered: Whether the log itself has told its number since the start.
-        renumbered_after_s: The log counts as numbered anew when it is behind `sequence` this long; 0: never.
+        renumbering_wait_s: The log counts as numbered anew when it is behind `sequence` this long; 0: never.
         on_renumbered: Called then, before all events are asked for again.
     """
 
@@ -84,15 +84,15 @@
         self.sequence = sequence
         self.is_caught_up = False
         self.has_answered = False
-        self.renumbered_after_s = 0.0
+        self.renumbering_wait_s = 0.0
         self.on_renumbered: Callable[[], None] | None = None
         self._on_update = on_update
         self._random = random.Random(seed)
         self._task: Task | None = None
         self._behind_since = math.inf
-        loop.at(loop.now + UNREACHABLE_TIMEOUT_S, self._stop_waiting)
+        loop.at(loop.now + UNREACHABLE_TIMEOUT_S, self._expire_catch_up)
 
-    def move_to(self, address: tuple[str, int]) -> None:
+    def set_address(self, address: tuple[str, int]) -> None:
         """Follow the log at this address from now on, from the last event taken."""
         if address == self.address:
             return
@@ -111,7 +111,7 @@
                 delay_s = RECONNECT_DELAY_S * self._random.uniform(0.5, 1.0)
                 self.loop.sleep(task, self.loop.now + delay_s)
 
-    def _stop_waiting(self) -> None:
+    def _expire_catch_up(self) -> None:
         self.is_caught_up = True
 
     def _connect_and_follow(self, task: Task) -> None:
@@ -153,17 +153,17 @@
             if len(rest) > MAX_LINE_BYTES:
                 log.warning("change log line too long", max_bytes=MAX_LINE_BYTES)
                 return
-            if not all(self._take_line(line) for line in lines):
+            if not all(self._process_line(line) for line in lines):
                 return
 
-    def _take_line(self, line: bytes) -> bool:
+    def _process_line(self, line: bytes) -> bool:
         """Take an event or the log's own number; False where the log has to be asked anew."""
         event = decode_event(line)
         if isinstance(event, ChangeEvent):
-            return self._take_event(event)
-        return self._take_number(event)
+            return self._process_event(event)
+        return self._process_sequence(event)
 
-    def _take_event(self, event: ChangeEvent) -> bool:
+    def _process_event(self, event: ChangeEvent) -> bool:
         if event.sequence <= self.sequence:
             return True
         if event.sequence != self.sequence + 1:
@@ -173,7 +173,7 @@
         self.sequence = event.sequence
         return True
 
-    def _take_number(self, number: int) -> bool:
+    def _process_sequence(self, number: int) -> bool:
         if number > self.sequence or self._detect_renumbering(number):
             return False
         self.has_answered = self.has_answered or number >= self.sequence
@@ -182,11 +182,11 @@
 
     def _detect_renumbering(self, number: int) -> bool:
         """Whether the log, being at `number`, counts from 1 again; it is then asked for everything."""
-        if self.renumbered_after_s <= 0 or number >= self.sequence:
+        if self.renumbering_wait_s <= 0 or number >= self.sequence:
             self._behind_since = math.inf
             return False
         self._behind_since = min(self._behind_since, self.loop.now)
-        if self.loop.now - self._behind_since < self.renumbered_after_s:
+        if self.loop.now - self._behind_since < self.renumbering_wait_s:
             return False
         log.warning("change log renumbered", last_sequence=self.sequence, sequence=number)
         self.sequence = 0
--- a/lilacfront/discovery/endpoint_list.py
+++ b/lilacfront/discovery/endpoint_list.py
@@ -115,7 +115,7 @@
         endpoints = self._usable_endpoints(update)
         scope = ListScope.SNAPSHOT if update.is_snapshot else ListScope.DELTA
         addresses = dict(self.addresses)
-        self._forget_removed(endpoints, update.is_snapshot)
+        self._drop_removed_addresses(endpoints, update.is_snapshot)
         return EndpointList(scope, tuple(endpoints), update.generation), addresses
 
     def _usable_endpoints(self, update: EndpointUpdate) -> list[Endpoint]:
@@ -134,7 +134,7 @@
             endpoints.append(endpoint)
         return endpoints
 
-    def _forget_removed(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
+    def _drop_removed_addresses(self, endpoints: list[Endpoint], is_snapshot: bool) -> None:
         for endpoint in endpoints:
             if endpoint.state is EndpointState.REMOVED:
                 self.addresses.pop(endpoint.engine, None)
--- a/lilacfront/discovery/etcd_watch.py
+++ b/lilacfront/discovery/etcd_watch.py
@@ -106,7 +106,7 @@
         self.records: dict[str, EndpointRecord] = {}
         self._on_update = on_update
         self._backoff_s = MIN_BACKOFF_S
-        self._range = {
+        self._key_range = {
             "key": b64encode(self.prefix).decode(),
             "range_end": b64encode(range_end(self.prefix)).decode(),
         }
@@ -124,7 +124,7 @@
     def _list_and_watch(self, task: Task, endpoint: tuple[str, int]) -> bool:
         """Whether the list was read, and the watch ended without an error."""
         try:
-            if not self._list(task, endpoint):
+            if not self._read_list(task, endpoint):
                 return False
             self._backoff_s = MIN_BACKOFF_S
             self._watch(task, endpoint)
@@ -150,9 +150,9 @@
         stream.write(http1.request(b"POST", path, headers) + text)
         return stream
 
-    def _list(self, task: Task, endpoint: tuple[str, int]) -> bool:
+    def _read_list(self, task: Task, endpoint: tuple[str, int]) -> bool:
         """Read the whole list; engines that are not in it are gone."""
-        stream = self._post(task, endpoint, b"/v3/kv/range", self._range)
+        stream = self._post(task, endpoint, b"/v3/kv/range", self._key_range)
         if stream is None:
             return False
         try:
@@ -186,12 +186,12 @@
         self.revision = answer.header.revision
         self.records.clear()
         for pair in answer.pairs:
-            self._put(pair)
+            self._store_record(pair)
         self._on_update(EndpointUpdate(self.revision, True, list(self.records.values())))
 
     def _watch(self, task: Task, endpoint: tuple[str, int]) -> None:
         """Take changes until the watch ends, is cancelled or compacted away, or falls silent."""
-        create = {"create_request": {**self._range, "start_revision": str(self.revision + 1)}}
+        create = {"create_request": {**self._key_range, "start_revision": str(self.revision + 1)}}
         stream = self._post(task, endpoint, b"/v3/watch", create)
         if stream is None:
             return
@@ -218,29 +218,29 @@
                     if not line.strip():
                         continue
                     deadline = self.loop.now + SILENCE_TIMEOUT_S
-                    if not self._take_line(_WATCH_DECODER.decode(line.strip())):
+                    if not self._process_line(_WATCH_DECODER.decode(line.strip())):
                         return
 
-    def _take_line(self, line: WatchLine) -> bool:
+    def _process_line(self, line: WatchLine) -> bool:
         """Take the changes of one line; False where the watch is over."""
         result = line.result
         if result is None or result.is_cancelled or result.compact_revision:
             return False
         if result.events:
-            changed = [record for event in result.events if (record := self._apply(event)) is not None]
+            changed = [record for event in result.events if (record := self._apply_event(event)) is not None]
             self._on_update(EndpointUpdate(result.header.revision, False, changed))
         self.revision = max(self.revision, result.header.revision)
         return True
 
-    def _apply(self, event: WatchEvent) -> EndpointRecord | None:
+    def _apply_event(self, event: WatchEvent) -> EndpointRecord | None:
         if event.type != "DELETE":
-            return self._put(event.pair)
+            return self._store_record(event.pair)
         record = self.records.pop(self._engine_id(event.pair), None)
         if record is not None:
             record.lifecycle = "gone"
         return record
 
-    def _put(self, pair: KeyValue) -> EndpointRecord | None:
+    def _store_record(self, pair: KeyValue) -> EndpointRecord | None:
         engine_id = self._engine_id(pair)
         try:
             record = _RECORD_DECODER.decode(b64decode(pair.value))
--- a/lilacfront/experiments/simulation.py
+++ b/lilacfront/experiments/simulation.py
@@ -278,7 +278,7 @@
                 self._admit(decision.number)
             else:
                 self._reject(decision)
-        self._scheduler_due = self._scheduler.next_due()
+        self._scheduler_due = self._scheduler.next_tick_at()
 
     def _reject(self, decision: RejectRequest) -> None:
         request = self._requests.pop(decision.number)
--- a/lilacfront/server/config_reload.py
+++ b/lilacfront/server/config_reload.py
@@ -49,7 +49,7 @@
         server = self._server
         change_log = server.endpoint_feed.change_log
         if change_log is not None and config.change_log_address is not None:
-            change_log.move_to(config.change_log_address)
+            change_log.set_address(config.change_log_address)
         elif config.change_log_address != server.config.change_log_address:
             log.warning("change log can't be turned on or off without a restart")
         server.config = replace(server.config, change_log_address=config.change_log_address)
--- a/lilacfront/server/endpoint_feed.py
+++ b/lilacfront/server/endpoint_feed.py
@@ -56,7 +56,7 @@
             if self.recovery is None:
                 loop.spawn(self.change_log.run)
             else:
-                self.change_log.renumbered_after_s = config.recovery.renumbering_wait_s
+                self.change_log.renumbering_wait_s = config.recovery.renumbering_wait_s
                 self.change_log.on_renumbered = self.recovery.reset_change_log
 
     @property
--- a/lilacfront/teams/cost_model.py
+++ b/lilacfront/teams/cost_model.py
@@ -1,4 +1,4 @@
-"""What requests cost in thread-seconds, learned by class and fingerprint of the statement."""
+"""Learns the cost of requests in thread-seconds, by class and statement fingerprint."""
 
 from __future__ import annotations
 
@@ -9,25 +9,32 @@
 
 from lilacfront.teams.quantile_sketch import QuantileSketch
 
-MAX_FINGERPRINTS = 4096  # remembered; the least recently recorded one is evicted
-FINGERPRINT_BYTES = 8 << 10  # of a statement that count for its fingerprint
-SMOOTHING_FACTOR = 0.2  # weight of a new figure in a fingerprint's mean
-CLASS_SMOOTHING_FACTOR = SMOOTHING_FACTOR / 4
-DEFAULT_SECONDS = 0.2  # for a class of which nothing is recorded
-HALF_LIFE_S = 300.0
-FAST_QUANTILE = 0.1
+MAX_FINGERPRINTS = 4096  # fingerprints with a mean; the least recently recorded one is evicted
+MAX_FINGERPRINTED_BYTES = 8 << 10  # only these first bytes of a statement determine its fingerprint
+SMOOTHING_FACTOR = 0.2  # weight of a new value in the moving average of a fingerprint
+CLASS_SMOOTHING_FACTOR = SMOOTHING_FACTOR / 4  # weight of a new value in the moving average of a class
+DEFAULT_EXECUTION_S = 0.2  # expected execution time of a class without recorded requests
+HALF_LIFE_S = 300.0  # half-life of the weight of an execution time in the quantiles
+FAST_QUANTILE = 0.1  # probability of the quantile that `fast_quantile_seconds` returns
 _LITERAL = re.compile(rb"'(?:[^'\\]|\\.|'')*'|\b\d[\w.]*\b|(?<=_)\d+")
 _LIST = re.compile(rb"\?(?:\s*,\s*\?)+")
 
 
 def statement_fingerprint(statement: bytes) -> bytes:
-    """Returns a digest that ignores literals, digits in names and white space."""
-    text = b" ".join(_LITERAL.sub(b"?", statement[:FINGERPRINT_BYTES]).split())
+    """Returns a digest of a statement that ignores literals, digits in names, case and white space."""
+    text = b" ".join(_LITERAL.sub(b"?", statement[:MAX_FINGERPRINTED_BYTES]).split())
     return hashlib.blake2b(_LIST.sub(b"?", text).lower(), digest_size=8).digest()
 
 
 class CostModel:
-    """Expected execution times; times the `threads` of its class that is a request's cost."""
+    """Predicts a request's execution time; its cost is this time multiplied by the threads of its class.
+
+    Exponential moving averages give the mean execution time for each pair of class and statement
+    fingerprint, and for each class.
+
+    Attributes:
+        threads: Threads that a request uses while it runs, by class index.
+    """
 
     def __init__(self, threads: Sequence[int], now: float) -> None:
         self.threads = tuple(threads)
@@ -36,27 +43,30 @@
         self._execution_times = [QuantileSketch(HALF_LIFE_S, now) for _ in threads]
 
     def expected_seconds(self, class_index: int, fingerprint: bytes) -> float:
-        """Seconds that such a request takes: its fingerprint's mean, or else its class's."""
+        """Returns the expected execution time: the fingerprint's mean, or the class's if there is none."""
         mean = self._mean_seconds.get((class_index, fingerprint))
         if mean is None:
             mean = self._class_mean_seconds[class_index]
-        return DEFAULT_SECONDS if mean is None else mean
+        return DEFAULT_EXECUTION_S if mean is None else mean
 
     def expected_cost(self, class_index: int, fingerprint: bytes) -> float:
-        """Thread-seconds that such a request takes."""
+        """Returns the expected cost in thread-seconds."""
         return self.threads[class_index] * self.expected_seconds(class_index, fingerprint)
 
-    def fast_seconds(self, class_index: int) -> float:
-        """Seconds within which the fastest tenth of the class ends; with less left, beginning is useless."""
+    def fast_quantile_seconds(self, class_index: int) -> float:
+        """Returns the 10th percentile of the class's execution times in seconds.
+
+        A request with less time left until its deadline is not worth starting.
+        """
         return self._execution_times[class_index].quantiles((FAST_QUANTILE,))[0]
 
     def record(self, class_index: int, fingerprint: bytes, seconds: float, now: float) -> None:
-        """Learn from a request that took so many seconds."""
+        """Record the execution time of a request."""
         key = (class_index, fingerprint)
         mean = self._mean_seconds.pop(key, None)
         self._mean_seconds[key] = _smoothed(mean, seconds, SMOOTHING_FACTOR)
         if len(self._mean_seconds) > MAX_FINGERPRINTS:
-            # Statements that are all different must not fill the memory.
+            # Bounds the memory used if all statements are different.
             self._mean_seconds.popitem(last=False)
         class_mean = self._class_mean_seconds[class_index]
         self._class_mean_seconds[class_index] = _smoothed(class_mean, seconds, CLASS_SMOOTHING_FACTOR)
--- a/lilacfront/teams/fair_queue.py
+++ b/lilacfront/teams/fair_queue.py
@@ -1,11 +1,13 @@
 """Start-time fair queueing over a tree, by cost and weight (Goyal, Vin and Cheng, 1996).
 
-Each node keeps a virtual time, and each child below it a start tag. The active child with the least start
-tag is served; its tag then advances by cost / weight. A child that was idle comes back at the node's virtual
-time, so it can neither claim what it did not use nor be penalised for what it used while others were idle.
-Two active children never drift further apart than by the largest cost over weight of each.
-
-Tags are in heaps with lazy deletion: a change pushes a new entry, and stale ones are dropped as they surface.
+Each node has a virtual time, and each of its children has a start tag. The active child with the smallest
+start tag is served, and its tag then advances by cost / weight. When an idle child becomes active, its start
+tag is raised to the node's virtual time if it is lower. So the child can't claim service for the time it was
+idle, and its siblings aren't penalised for the service that they received meanwhile. While two children are
+active, their service divided by weight differs by at most the sum of their largest cost / weight.
+
+Start tags are kept in heaps with lazy deletion: a change pushes a new entry, and a stale entry is dropped
+when it reaches the top of the heap.
 """
 
 from __future__ import annotations
@@ -13,9 +15,9 @@
 import heapq
 from itertools import count
 
-_ENTRY_IDS = count(1)  # over all queues
-NO_ENTRY = 0
-MAX_STALE_ENTRIES = 64  # beyond twice the active children; above that the heap is rebuilt
+_ENTRY_IDS = count(1)  # unique over all queues
+NO_ENTRY = 0  # entry ID of a node without a valid entry in its parent's heap
+MAX_STALE_ENTRIES = 64  # a heap is rebuilt if it has more entries than twice the active children plus this
 
 
 class FairQueueNode:
@@ -38,16 +40,16 @@
         self.weight = weight
         self.start_tag = 0.0
         self.virtual_time = 0.0
-        self.entry_id = NO_ENTRY  # of its one valid entry in the parent's heap
+        self.entry_id = NO_ENTRY  # ID of the only valid entry of this node in the parent's heap
         self.active_children = 0
-        self.active_weight = 0.0  # of those children
+        self.active_weight = 0.0  # sum of the weights of all active children
         self.children: list[FairQueueNode] = []
         self._heap: list[tuple[float, int, FairQueueNode]] = []
         if parent is not None:
             parent.children.append(self)
 
     def activate(self) -> None:
-        """Requests wait at this leaf, where none did."""
+        """Mark this inactive leaf, and its inactive ancestors, as active."""
         node: FairQueueNode = self
         while node.parent is not None:
             parent = node.parent
@@ -60,7 +62,7 @@
             node = parent
 
     def deactivate(self) -> None:
-        """No request waits at this leaf any more."""
+        """Mark this active leaf as inactive, and each ancestor without another active child."""
         node: FairQueueNode = self
         while node.parent is not None:
             parent = node.parent
@@ -69,11 +71,11 @@
             if parent.active_children:
                 parent.active_weight -= node.weight
                 return
-            parent.active_weight = 0.0  # exactly, so that rounding errors can't add up
+            parent.active_weight = 0.0  # set to exactly 0 so that rounding errors don't accumulate
             node = parent
 
     def charge(self, cost: float) -> None:
-        """A request of this leaf is served: advance the tags on the way up, and the virtual times."""
+        """Charge a served request: update start tags and virtual times from this leaf up to the root."""
         node: FairQueueNode = self
         while node.parent is not None:
             node.parent.virtual_time = max(node.parent.virtual_time, node.start_tag)
@@ -81,14 +83,14 @@
             node = node.parent
 
     def correct_charge(self, difference: float) -> None:
-        """A request cost so much more than was charged for it, or with a difference below 0 less."""
+        """Correct an earlier charge by actual cost minus charged cost; the difference may be negative."""
         node: FairQueueNode = self
         while node.parent is not None:
             node._advance(difference)
             node = node.parent
 
     def share(self) -> float:
-        """Its fraction of all service while those that are active stay so, with itself counted as active."""
+        """Returns this node's fraction of all service among the active nodes, counting itself as active."""
         fraction = 1.0
         node: FairQueueNode = self
         while node.parent is not None:
@@ -99,7 +101,7 @@
         return fraction
 
     def first_child(self) -> FairQueueNode | None:
-        """The active child with the least start tag."""
+        """Returns the active child with the smallest start tag; None if no child is active."""
         while self._heap and self._heap[0][2].entry_id != self._heap[0][1]:
             heapq.heappop(self._heap)
         return self._heap[0][2] if self._heap else None
@@ -118,7 +120,7 @@
 
 
 class FairQueue:
-    """The order in which the leaves of one tree are served."""
+    """Decides the order in which the leaves of one tree are served."""
 
     def __init__(self) -> None:
         self.root = FairQueueNode(None, 1.0)
@@ -128,7 +130,10 @@
         return FairQueueNode(parent, weight)
 
     def next_leaf(self) -> FairQueueNode | None:
-        """The leaf to serve: the least start tag at each level; None if no leaf is active."""
+        """Returns the leaf to serve next; None if no leaf is active.
+
+        The search descends from the root to the active child with the smallest start tag at each level.
+        """
         node: FairQueueNode | None = self.root
         while node is not None and node.children:
             node = node.first_child()
--- a/lilacfront/teams/queue_limits.py
+++ b/lilacfront/teams/queue_limits.py
@@ -1,4 +1,4 @@
-"""The bounds of the queues, and which request has to go where they are reached."""
+"""Enforces the queue bounds: selects the request to displace when a bound is reached."""
 
 from __future__ import annotations
 
@@ -10,42 +10,50 @@
 
 
 class QueueFullError(LilacfrontError):
-    """There is no place for a request, nor a less urgent one that could be displaced."""
+    """A request doesn't fit into the queues and no other request may be displaced for it."""
 
 
 @dataclass(slots=True)
 class QueueTotals:
-    """What is queued, over all teams."""
+    """Totals over the queues of all teams.
+
+    Attributes:
+        requests: Number of queued requests.
+        size_bytes: Total size of the queued statements in bytes.
+    """
 
     requests: int = 0
     size_bytes: int = 0
 
 
 def find_victim(
-    tree: TeamTree, totals: QueueTotals, queue: TeamQueue, size_bytes: int, urgent_from: float
+    tree: TeamTree, totals: QueueTotals, queue: TeamQueue, size_bytes: int, patience_ends_at: float
 ) -> QueuedRequest | None:
-    """Returns the request to displace before a new one fits; None if it fits as it is.
+    """Returns the next request to displace to make a new request fit; None if the new request fits.
+
+    If the new request's queue is full, its least urgent request is displaced. If all queues together are
+    full, the least urgent request of the queue with the highest cost per weight is displaced.
 
     Args:
-        tree: All queues.
-        totals: What they hold.
-        queue: The new request's.
-        size_bytes: Of the new request's statement.
-        urgent_from: The new request's urgency.
+        tree: The tree with all queues.
+        totals: Totals over all queues.
+        queue: The queue of the new request.
+        size_bytes: Size of the new request's statement in bytes.
+        patience_ends_at: When the patience of the new request's class ends.
 
     Raises:
-        QueueFullError: The new request itself has to go.
+        QueueFullError: The new request doesn't fit and must be rejected.
     """
     if size_bytes > queue.settings.max_queued_bytes or size_bytes > tree.settings.max_queued_bytes:
         raise QueueFullError
     if _is_queue_full(queue, size_bytes):
-        return _less_urgent(queue, urgent_from)
+        return _displaceable_request(queue, patience_ends_at)
     if not _are_all_queues_full(tree, totals, size_bytes):
         return None
-    largest = max(tree.queues.values(), key=lambda candidate: candidate.weighted_cost)
+    largest = max(tree.queues.values(), key=lambda candidate: candidate.cost_per_weight)
     if largest is queue:
-        return _less_urgent(queue, urgent_from)
-    if not largest.entries or largest.weighted_cost <= queue.weighted_cost:
+        return _displaceable_request(queue, patience_ends_at)
+    if not largest.entries or largest.cost_per_weight <= queue.cost_per_weight:
         raise QueueFullError
     return largest.least_urgent
 
@@ -62,7 +70,7 @@
     return too_many or totals.size_bytes + size_bytes > settings.max_queued_bytes
 
 
-def _less_urgent(queue: TeamQueue, urgent_from: float) -> QueuedRequest:
-    if not queue.entries or queue.least_urgent.urgent_from <= urgent_from:
+def _displaceable_request(queue: TeamQueue, patience_ends_at: float) -> QueuedRequest:
+    if not queue.entries or queue.least_urgent.patience_ends_at <= patience_ends_at:
         raise QueueFullError
     return queue.least_urgent
--- a/lilacfront/teams/queued_request.py
+++ b/lilacfront/teams/queued_request.py
@@ -1,4 +1,4 @@
-"""Requests in the queues of teams, and what the scheduler decides on them."""
+"""Requests in the queues of teams, and the scheduler's decisions on them."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 if TYPE_CHECKING:
     from lilacfront.teams.team_tree import TeamQueue
 
-Urgency = tuple[float, int]  # sorts the most urgent last
+Urgency = tuple[float, int]  # sort key; the most urgent request sorts last
 
 
 class RejectReason(StrEnum):
     """Why a request is rejected."""
 
-    LATE = "late"  # on arrival: it can't be served in time
-    WAITED = "waited"  # it has waited as long as it may
-    FULL = "full"  # on arrival: the queues are full
-    DISPLACED = "displaced"  # a more urgent request needed its place
+    DEADLINE_UNREACHABLE = "late"  # rejected on arrival because it can't be served in time
+    WAITED_TOO_LONG = "waited"  # rejected because its latest start has passed
+    QUEUE_FULL = "full"  # rejected because the queues are full
+    DISPLACED = "displaced"  # removed from a full queue to make it possible to add another request
 
 
 @dataclass(slots=True, frozen=True)
 class AdmitRequest:
-    """Hand this request to the router now."""
+    """Decision to pass a request to the router now."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class RejectRequest:
-    """Reject this request now; it has not run.
+    """Decision to reject a request now; it has not run.
 
     Attributes:
-        number: The request.
-        reason: Why.
-        retry_after_s: When the client may retry, in seconds from now.
-        wait: How long a retry would wait.
+        number: The request's number.
+        reason: Why the request is rejected.
+        retry_after_s: Seconds after which the client may retry.
+        retry_wait: Estimated wait of a retry.
     """
 
     number: int
     reason: RejectReason
     retry_after_s: float
-    wait: WaitEstimate
+    retry_wait: WaitEstimate
 
 
 TeamDecision = AdmitRequest | RejectRequest
@@ -55,20 +55,20 @@
     """A request from its arrival to its end. Times are on the caller's clock, in seconds.
 
     Attributes:
-        number: As the caller knows it.
-        queue: Its team's queue.
-        class_index: Its request class.
-        fingerprint: Of its statement.
-        cost: Thread-seconds, as expected on arrival.
-        threads: That it uses while it runs.
-        size_bytes: Of its statement.
-        arrived_at: When it came.
-        urgent_from: Arrival time plus its class's patience: the queue is ordered by it.
-        latest_start: Later than this, beginning is useless.
-        computed_wait_s: Its wait as computed on arrival.
-        wait_estimate: The same, calibrated.
-        admitted_at: When it was admitted; None while it is queued.
-        lender: The budget level that lent; None where its own budgets pay.
+        number: The caller's number for the request.
+        queue: The queue of the request's team.
+        class_index: Index of the request class.
+        fingerprint: Fingerprint of the statement.
+        cost: Expected cost in thread-seconds, as of arrival.
+        threads: Number of threads that the request uses while it runs.
+        size_bytes: Size of the statement in bytes.
+        arrived_at: Arrival time.
+        patience_ends_at: Arrival time plus the patience of the class; the queue is ordered by it.
+        latest_start: Latest time at which starting the request is still useful.
+        computed_wait_s: Wait that was computed on arrival, before calibration.
+        wait_estimate: Calibrated estimate of the wait.
+        admitted_at: Admission time; None while the request is queued.
+        lending_level: Index of the budget level that lent; None if the team's own budgets pay.
     """
 
     number: int
@@ -79,14 +79,14 @@
     threads: int
     size_bytes: int
     arrived_at: float
-    urgent_from: float
+    patience_ends_at: float
     latest_start: float
     computed_wait_s: float
     wait_estimate: WaitEstimate
     admitted_at: float | None = None
-    lender: int | None = None
+    lending_level: int | None = None
 
     @property
     def urgency(self) -> Urgency:
-        """Its place in the queue, which has the most urgent request last."""
-        return (-self.urgent_from, -self.number)
+        """Sort key in the queue: the request with the earliest end of its patience sorts last."""
+        return (-self.patience_ends_at, -self.number)
--- a/lilacfront/teams/request_estimator.py
+++ b/lilacfront/teams/request_estimator.py
@@ -1,4 +1,4 @@
-"""Estimates costs and waits of requests, and learns from how they turned out."""
+"""Estimates the cost and wait of requests, and learns from their actual execution times and waits."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from lilacfront.teams.wait_estimate import WaitCalibration
 from lilacfront.teams.wait_prediction import expected_wait_s
 
-LEAST_URGENT = math.inf  # an urgency behind all others
+LEAST_URGENT = math.inf  # `patience_ends_at` of a request behind all queued ones
 
 
 class RequestEstimator:
-    """Makes queued requests with their estimates, and rejections with their Retry-After.
+    """Creates queued requests with their estimates, and rejections with their Retry-After.
 
     Attributes:
-        cost_model: Learns what requests cost.
-        calibration: Learns how estimates of waits turn out.
+        cost_model: The model that learns the cost of requests.
+        calibration: The calibration that learns from actual waits.
     """
 
     def __init__(self, cost_model: CostModel, capacity: ThreadCapacity, now: float) -> None:
@@ -29,15 +29,15 @@
         self._capacity = capacity
         self._max_threads = max(cost_model.threads)
 
-    def arrival(
+    def create_request(
         self, now: float, number: int, queue: TeamQueue, class_index: int, statement: bytes, deadline: float
     ) -> QueuedRequest:
-        """Returns a new request with its cost and wait estimated; it is not in the queue yet."""
+        """Create a request with its estimated cost and wait; it is not inserted into the queue."""
         fingerprint = statement_fingerprint(statement)
         cost = self.cost_model.expected_cost(class_index, fingerprint)
-        urgent_from = now + queue.settings.patience_s.get(class_index, DEFAULT_PATIENCE_S)
-        latest_useful_start = deadline - self.cost_model.fast_seconds(class_index)
-        computed_wait_s = self._expected_wait_s(queue, urgent_from, cost)
+        patience_ends_at = now + queue.settings.patience_s.get(class_index, DEFAULT_PATIENCE_S)
+        latest_useful_start = deadline - self.cost_model.fast_quantile_seconds(class_index)
+        computed_wait_s = self._expected_wait_s(queue, patience_ends_at, cost)
         return QueuedRequest(
             number=number,
             queue=queue,
@@ -47,16 +47,20 @@
             threads=self.cost_model.threads[class_index],
             size_bytes=len(statement),
             arrived_at=now,
-            urgent_from=urgent_from,
+            patience_ends_at=patience_ends_at,
             latest_start=min(now + queue.settings.max_wait_s, latest_useful_start),
             computed_wait_s=computed_wait_s,
             wait_estimate=self.calibration.calibrate(queue.settings.name, computed_wait_s, now),
         )
 
-    def rejection(
+    def create_rejection(
         self, now: float, request: QueuedRequest, reason: RejectReason, settings: TeamsSettings
     ) -> RejectRequest:
-        """Returns the rejection of a request: it may retry when a new request would be served."""
+        """Create the rejection of a request.
+
+        The Retry-After is the estimated wait of a request that arrives now and is the least urgent of its
+        queue, within the bounds of the settings.
+        """
         queue = request.queue
         computed_wait_s = self._expected_wait_s(queue, LEAST_URGENT, request.cost)
         wait = self.calibration.calibrate(queue.settings.name, computed_wait_s, now)
@@ -64,14 +68,14 @@
         return RejectRequest(request.number, reason, retry_after_s, wait)
 
     def record_wait(self, now: float, request: QueuedRequest) -> None:
-        """Learn from a request that is admitted now."""
+        """Record the actual wait of a request that is admitted now."""
         waited_s = now - request.arrived_at
         team = request.queue.settings.name
         self.calibration.record(team, request.computed_wait_s, request.wait_estimate, waited_s, now)
 
     def record_execution(self, now: float, request: QueuedRequest, seconds: float) -> None:
-        """Learn from a request that ran for so many seconds."""
+        """Record the execution time of a request that has ended."""
         self.cost_model.record(request.class_index, request.fingerprint, seconds, now)
 
-    def _expected_wait_s(self, queue: TeamQueue, urgent_from: float, cost: float) -> float:
-        return expected_wait_s(queue, urgent_from, cost, self._capacity, self._max_threads)
+    def _expected_wait_s(self, queue: TeamQueue, patience_ends_at: float, cost: float) -> float:
+        return expected_wait_s(queue, patience_ends_at, cost, self._capacity, self._max_threads)
--- a/lilacfront/teams/request_explanation.py
+++ b/lilacfront/teams/request_explanation.py
@@ -1,4 +1,4 @@
-"""Explains in figures why a request waits."""
+"""Collects the values that explain why a request waits."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestExplanation:
-    """Why a request waits, in figures.
+    """The values that explain why a request waits.
 
     Attributes:
-        number: The request.
-        team: Whose queue it is in.
-        waited_s: How long it has waited, or had when it was admitted.
-        estimated_wait_s: What was estimated on arrival.
-        is_admitted: Whether it has been admitted.
-        requests_ahead: More urgent requests in its queue.
-        cost: Thread-seconds, as expected.
-        limiting_team: The team whose concurrency limit holds it; empty if there is none.
-        is_within_budget: Whether its team's budget covers it.
-        covered_in_s: Seconds until it does.
-        share: Its team's fraction of service.
-        free_threads: Of the engines.
+        number: The request's number.
+        team: Path of the request's team.
+        waited_s: Seconds from arrival until now, or until the admission of an admitted request.
+        estimated_wait_s: Wait in seconds that was estimated on arrival.
+        is_admitted: Whether the request has been admitted.
+        requests_ahead: Number of more urgent requests in the queue.
+        cost: Expected cost in thread-seconds.
+        limiting_team: The team whose concurrency limit blocks the request; empty if there is none.
+        is_within_budget: Whether the team's budget covers the request.
+        covered_in_s: Seconds until the team's budget covers the request; 0 if it does already.
+        share: The team's fraction of all service, from 0 to 1.
+        free_threads: Number of free threads of all engines.
     """
 
     number: int
@@ -42,7 +42,7 @@
 
 
 def explain_request(request: QueuedRequest, capacity: ThreadCapacity, now: float) -> RequestExplanation:
-    """Returns the figures of a request that has not ended."""
+    """Returns the explanation for a request that has not ended."""
     queue = request.queue
     limiting_node = queue.limiting_node()
     limiting_team = ""
@@ -59,6 +59,6 @@
         limiting_team=limiting_team,
         is_within_budget=queue.budget.covers(request.cost),
         covered_in_s=round(queue.budget.seconds_until_covered(request.cost), 3),
-        share=round(queue.budget_order.share(), 4),
+        share=round(queue.budget_order_node.share(), 4),
         free_threads=capacity.free,
     )
--- a/lilacfront/teams/scheduler.py
+++ b/lilacfront/teams/scheduler.py
@@ -1,17 +1,17 @@
-"""Decides which queued request is admitted to the router next, and which can't be served in time.
-
-All methods take the caller's clock in seconds and return what is decided: `AdmitRequest` and `RejectRequest`.
-Each request that was enqueued gets exactly one of them, unless it is removed first. What holds
-(`docs/design/teams.md`):
-
-- A request waits no longer than its team's `max_wait_s`, nor past the moment at which one in ten of its class
-  could still be served by its deadline.
-- A team with a budget begins, over any time T, work of at most rate * T + burst and one request, besides
-  what it borrows; what is borrowed is surplus of other teams, and never more than that.
-- In a team, a request is overtaken only by those that came no later than the difference of their classes'
-  patience.
-- Queues are bounded in requests and bytes, each team's and all together. The least urgent request makes
-  room, and is answered at once.
+"""Decides which queued request is admitted to the router next, and which requests are rejected.
+
+All methods take the current time of the caller's clock in seconds and return decisions: `AdmitRequest` and
+`RejectRequest`. Each enqueued request gets exactly one decision, unless it is removed first. The scheduler
+guarantees (`docs/design/teams.md`):
+
+- A request waits no longer than its team's `max_wait_s`. It also doesn't wait past the time from which fewer
+  than one in ten requests of its class could finish by the deadline.
+- In any period of T seconds, a team with a budget starts work of at most rate * T + burst plus one request,
+  not counting borrowed budget. Only the surplus of other teams can be borrowed.
+- Within a team, a request is overtaken only by requests that arrive later by no more than the difference
+  between the patience of the two classes.
+- Each team's queue, and all queues together, are bounded in requests and bytes. If a bound is reached, the
+  least urgent request is displaced and rejected immediately.
 """
 
 from __future__ import annotations
@@ -51,12 +51,12 @@
 
     @property
     def cost_model(self) -> CostModel:
-        """Learns what requests cost."""
+        """The model that learns the cost of requests."""
         return self._estimator.cost_model
 
     @property
     def calibration(self) -> WaitCalibration:
-        """Learns how estimates of waits turn out."""
+        """The calibration that learns from actual waits."""
         return self._estimator.calibration
 
     @property
@@ -66,53 +66,54 @@
 
     @property
     def queues(self) -> dict[str, TeamQueue]:
-        """The queues by path of their team."""
+        """The queue of each leaf team, by team path."""
         return self._tree.queues
 
     @property
     def threads_in_use(self) -> int:
-        """Threads of the requests that are admitted and have not ended."""
+        """Threads used by the requests that are admitted and have not ended."""
         return self._capacity.in_use
 
     @property
     def queued_count(self) -> int:
-        """Queued requests, over all teams."""
+        """The number of queued requests of all teams."""
         return self._totals.requests
 
     # ---- events -------------------------------------------------------------------------------------
     def set_capacity(self, now: float, cores: float) -> list[TeamDecision]:
-        """Set the cores of all ready engines together."""
+        """Set the total number of cores of all ready engines."""
         self._capacity.resize(cores, self.settings.threads_per_core)
         return self._dispatch(now)
 
     def enqueue(
         self, now: float, number: int, team: str, class_index: int, statement: bytes, deadline: float
     ) -> list[TeamDecision]:
-        """A request has arrived; its number must not be in use."""
+        """Add a request that has arrived; its number must not be in use."""
         assert number not in self._requests
         self._refill(now)
-        queue = self._tree.queue_for(team)
-        request = self._estimator.arrival(now, number, queue, class_index, statement, deadline)
+        queue = self._tree.queue_of_team(team)
+        request = self._estimator.create_request(now, number, queue, class_index, statement, deadline)
         if request.latest_start < now or now + request.wait_estimate.low > request.latest_start:
-            # Rejected now rather than at its deadline: even the lower bound leaves too little time.
-            return [self._reject(now, request, RejectReason.LATE)]
+            # Even at the lower bound of the wait, the request would start too late. Rejecting it now lets
+            # the client know before the deadline.
+            return [self._reject(now, request, RejectReason.DEADLINE_UNREACHABLE)]
         decisions: list[TeamDecision] = []
-        if request.computed_wait_s > 0 and not self._make_room(now, request, decisions):
-            return [*decisions, self._reject(now, request, RejectReason.FULL)]
+        if request.computed_wait_s > 0 and not self._displace_until_fits(now, request, decisions):
+            return [*decisions, self._reject(now, request, RejectReason.QUEUE_FULL)]
         self._requests[number] = request
         self._start_deadlines.add(request, self._totals.requests)
         self._insert(now, request)
         return decisions + self._dispatch(now)
 
     def remove(self, now: float, number: int) -> list[TeamDecision]:  # noqa: ARG002 - as all events
-        """The client is gone: a queued request is dropped, an admitted one ends by `request_ended` alone."""
+        """Drop a queued request whose client is gone; an admitted one stays until `request_ended`."""
         request = self._requests.get(number)
         if request is not None and request.admitted_at is None:
             self._drop(request)
         return []
 
     def request_ended(self, now: float, number: int, seconds: float | None) -> list[TeamDecision]:
-        """An admitted request is over: it ran for `seconds`, or None if it never ran."""
+        """Handle the end of an admitted request that ran for `seconds`, or None if it never ran."""
         request = self._requests.get(number)
         if request is None or request.admitted_at is None:
             return []
@@ -121,30 +122,32 @@
         self._order.change_running(now, request.queue, -1)
         actual_cost = 0.0 if seconds is None else seconds * request.threads
         difference = actual_cost - request.cost
-        request.queue.budget.charge(difference, request.lender)
-        _order_node(request).correct_charge(difference)
+        request.queue.budget.charge(difference, request.lending_level)
+        _charged_node(request).correct_charge(difference)
         if seconds is not None:
             self._estimator.record_execution(now, request, seconds)
         self._order.update(now, request.queue)
         return self._dispatch(now)
 
     def tick(self, now: float) -> list[TeamDecision]:
-        """Refill budgets, and reject what has waited too long; to be called at `next_due`."""
+        """Refill budgets and reject requests that have waited too long; call it at `next_tick_at`."""
         self._refill(now)
         return self._dispatch(now)
 
-    def next_due(self) -> float:
-        """When `tick` has something to do."""
-        next_deadline = self._start_deadlines.next_due()
+    def next_tick_at(self) -> float:
+        """Returns the time at which `tick` has to be called next."""
+        next_deadline = self._start_deadlines.earliest()
         if not self._totals.requests:
             return next_deadline
         return min(next_deadline, self._refilled_at + REFILL_INTERVAL_S)
 
     def replace_settings(self, now: float, settings: TeamsSettings) -> list[TeamDecision]:
-        """Go by other settings. Queued requests keep their places, or wait with the default team.
+        """Apply new settings.
 
-        Budgets and what was learned carry over by path; what runs goes on and is charged to its team if that
-        is still there.
+        Queued requests keep their position, or are rejected if they exceed the new bounds; those whose team
+        no longer exists move to the default team.
+        Budget levels of teams with the same path and all learned values carry over. Running requests
+        continue and are charged to their team, or to the default team if theirs no longer exists.
         """
         previous = self._tree
         self._tree = TeamTree(settings, previous)
@@ -155,29 +158,29 @@
             if path in previous.queues:
                 queue.recent_decisions = previous.queues[path].recent_decisions
         for request in self._requests.values():
-            request.queue = self._tree.queue_for(request.queue.settings.name)
-            request.lender = None
+            request.queue = self._tree.queue_of_team(request.queue.settings.name)
+            request.lending_level = None
             if request.admitted_at is not None:
                 self._order.change_running(now, request.queue, 1)
         self._totals.requests = 0
         self._totals.size_bytes = 0
         decisions: list[TeamDecision] = []
-        for request in sorted(queued, key=lambda moved: (moved.urgent_from, moved.number)):
-            if self._make_room(now, request, decisions):
+        for request in sorted(queued, key=lambda moved: (moved.patience_ends_at, moved.number)):
+            if self._displace_until_fits(now, request, decisions):
                 self._insert(now, request)
             else:
                 del self._requests[request.number]
-                decisions.append(self._reject(now, request, RejectReason.FULL))
+                decisions.append(self._reject(now, request, RejectReason.QUEUE_FULL))
         return decisions + self._dispatch(now)
 
     # ---- diagnosis ----------------------------------------------------------------------------------
     def wait_estimate(self, number: int) -> WaitEstimate | None:
-        """What was estimated of a request's wait on arrival; None for one that is not here."""
+        """Returns the wait estimated when the request arrived; None if the request is unknown."""
         request = self._requests.get(number)
         return request.wait_estimate if request is not None else None
 
     def explain(self, now: float, number: int) -> RequestExplanation | None:
-        """Why a request waits; None for one that is not here."""
+        """Returns why a request waits; None if the request is unknown."""
         request = self._requests.get(number)
         if request is None:
             return None
@@ -190,7 +193,7 @@
         self._totals.requests += 1
         self._order.update(now, request.queue)
 
-    def _take_out(self, request: QueuedRequest) -> None:
+    def _dequeue(self, request: QueuedRequest) -> None:
         request.queue.remove(request)
         self._totals.size_bytes -= request.size_bytes
         self._totals.requests -= 1
@@ -198,14 +201,14 @@
             self._order.deactivate(request.queue)
 
     def _drop(self, request: QueuedRequest) -> None:
-        self._take_out(request)
+        self._dequeue(request)
         del self._requests[request.number]
 
-    def _make_room(self, now: float, request: QueuedRequest, decisions: list[TeamDecision]) -> bool:
-        """Displace less urgent requests until a new one fits; returns False if it can't."""
+    def _displace_until_fits(self, now: float, request: QueuedRequest, decisions: list[TeamDecision]) -> bool:
+        """Displace requests until a new one fits; returns False if it can't be made to fit."""
         try:
             while victim := find_victim(
-                self._tree, self._totals, request.queue, request.size_bytes, request.urgent_from
+                self._tree, self._totals, request.queue, request.size_bytes, request.patience_ends_at
             ):
                 self._drop(victim)
                 decisions.append(self._reject(now, victim, RejectReason.DISPLACED))
@@ -215,24 +218,25 @@
 
     def _reject(self, now: float, request: QueuedRequest, reason: RejectReason) -> RejectRequest:
         request.queue.recent_decisions.append(f"{now:.3f} request {request.number}: {reason}")
-        return self._estimator.rejection(now, request, reason, self.settings)
+        return self._estimator.create_rejection(now, request, reason, self.settings)
 
     # ---- dispatch -----------------------------------------------------------------------------------
     def _refill(self, now: float) -> None:
-        # The same sum as in `next_due`: a rounding error apart, the two would never meet.
+        # `next_tick_at` computes the same sum. A difference by a rounding error could make the caller tick
+        # at a time that is never late enough for a refill.
         if now < self._refilled_at + REFILL_INTERVAL_S:
             return
         seconds = now - self._refilled_at
         self._refilled_at = now
         self._tree.refill(seconds)
-        self._order.release_held(now)
+        self._order.recheck_throttled(now)
 
     def _dispatch(self, now: float) -> list[TeamDecision]:
-        """Reject what has waited too long, then admit what may begin while threads are free."""
+        """Reject requests that have waited too long, then admit requests while threads are free."""
         decisions: list[TeamDecision] = []
-        while (request := self._start_deadlines.pop_due(now)) is not None:
+        while (request := self._start_deadlines.pop_expired(now)) is not None:
             self._drop(request)
-            decisions.append(self._reject(now, request, RejectReason.WAITED))
+            decisions.append(self._reject(now, request, RejectReason.WAITED_TOO_LONG))
         while self._capacity.has_free and self._totals.requests:
             choice = self._order.next_choice(now)
             if choice is None:
@@ -244,11 +248,11 @@
         request = choice.request
         queue = request.queue
         waited_s = now - request.arrived_at
-        request.lender = choice.lender
-        _order_node(request).charge(request.cost)
-        self._take_out(request)
+        request.lending_level = choice.lending_level
+        _charged_node(request).charge(request.cost)
+        self._dequeue(request)
         request.admitted_at = now
-        queue.budget.charge(request.cost, request.lender)
+        queue.budget.charge(request.cost, request.lending_level)
         self._capacity.in_use += request.threads
         self._order.change_running(now, queue, 1)
         self._estimator.record_wait(now, request)
@@ -260,7 +264,7 @@
         return AdmitRequest(request.number)
 
 
-def _order_node(request: QueuedRequest) -> FairQueueNode:
-    """The node that is charged for the request: of the order by which it was admitted."""
+def _charged_node(request: QueuedRequest) -> FairQueueNode:
+    """Returns the leaf to charge: the one in the order by which the request was admitted."""
     queue = request.queue
-    return queue.budget_order if request.lender is None else queue.borrowing_order
+    return queue.budget_order_node if request.lending_level is None else queue.borrowing_order_node
--- a/lilacfront/teams/settings.py
+++ b/lilacfront/teams/settings.py
@@ -13,17 +13,17 @@
 
 
 class TeamsSettingsError(SettingsError):
-    """Settings of teams that can't be used; `key` is the faulty one, as the file names it."""
+    """Invalid settings of teams; `key` is the name of the invalid setting in the file."""
 
 
 def ancestor_paths(path: str) -> list[str]:
-    """Returns the paths above a team, the nearest first."""
+    """Returns the paths of all ancestors of a team except the root, the nearest first."""
     parts = path.split("/")
     return ["/".join(parts[:length]) for length in range(len(parts) - 1, 0, -1)]
 
 
 def parent_path(path: str) -> str:
-    """Returns the path of the node above a team; empty for the root."""
+    """Returns the path of a team's parent node; empty if the parent is the root."""
     return path.rpartition("/")[0]
 
 
@@ -32,17 +32,17 @@
     """One node of the tree.
 
     Attributes:
-        name: Its path, such as `customers/acme`.
-        weight: Its share of service relative to its siblings.
-        budget_rate: Thread-seconds a second; None for weights alone.
-        burst: Thread-seconds that it can save up.
-        max_concurrency: Requests that may run at once; None for any number.
-        max_queued_requests: Bound of its queue.
-        max_queued_bytes: Bound of its queue, in bytes of statements.
-        max_wait_s: No request waits longer.
-        borrowing_classes: Classes that may run on surplus of other teams; None for all.
-        patience_s: Added to the arrival time of a class's requests to order the queue; a class that is not
-            named has `DEFAULT_PATIENCE_S`.
+        name: The node's path, such as `customers/acme`.
+        weight: The node's share of service relative to its siblings.
+        budget_rate: Budget in thread-seconds per second; None for no budget.
+        burst: Most unused budget that the node can accumulate, in thread-seconds.
+        max_concurrency: Most requests that may run at once; None for no limit.
+        max_queued_requests: Most requests in the queue.
+        max_queued_bytes: Most bytes of statements in the queue.
+        max_wait_s: Longest wait of a request in seconds.
+        borrowing_classes: Indices of the classes that may borrow budget of other teams; None for all.
+        patience_s: Seconds, by class index, that are added to a request's arrival time to order the queue;
+            `DEFAULT_PATIENCE_S` for a class that is not listed.
     """
 
     name: str
@@ -57,24 +57,24 @@
     patience_s: Mapping[int, float]
 
     def may_borrow(self, class_index: int) -> bool:
-        """Whether requests of this class may run on surplus of other teams."""
+        """Whether requests of this class may borrow budget of other teams."""
         return self.borrowing_classes is None or class_index in self.borrowing_classes
 
 
 @dataclass(slots=True, frozen=True)
 class TeamRule:
-    """Assigns the requests that match all of its conditions to a team; None or empty matches any."""
+    """Assigns requests that match all conditions to a team; None or an empty value matches any request."""
 
     team: str
     user: bytes
-    header: tuple[bytes, bytes] | None  # the name in lower case, the value
+    header: tuple[bytes, bytes] | None  # name in lower case and value
     class_index: int | None
     pattern: re.Pattern[bytes] | None
 
     def matches(
         self, user: bytes, headers: Sequence[tuple[bytes, bytes]], class_index: int, statement: bytes
     ) -> bool:
-        """Whether the rule applies to a request."""
+        """Whether a request matches all conditions of the rule."""
         if self.user and self.user != user:
             return False
         if self.class_index is not None and self.class_index != class_index:
@@ -94,15 +94,15 @@
     """All settings of teams.
 
     Attributes:
-        teams: By path; the nodes above a team are always included.
-        leaves: The paths of nodes without others below them, which have queues.
-        rules: The first one that matches a request gives its team.
-        default: The team of requests that no rule matches.
-        max_queued_requests: Bound of all queues together.
-        max_queued_bytes: Bound of all queues together, in bytes of statements.
-        min_retry_after_s: The shortest Retry-After that is sent.
-        max_retry_after_s: The longest Retry-After that is sent.
-        threads_per_core: Threads that may be in use for each core of the ready engines.
+        teams: The settings of each node by path, including all ancestors of each team.
+        leaves: Paths of the nodes without children; only these have queues.
+        rules: Rules in order; the first one that matches a request determines its team.
+        default: Path of the team for requests that match no rule.
+        max_queued_requests: Most requests in all queues together.
+        max_queued_bytes: Most bytes of statements in all queues together.
+        min_retry_after_s: Shortest Retry-After in seconds.
+        max_retry_after_s: Longest Retry-After in seconds.
+        threads_per_core: Threads that may be in use per core of the ready engines.
     """
 
     teams: Mapping[str, TeamSettings]
@@ -118,7 +118,7 @@
     def team_of(
         self, user: bytes, headers: Sequence[tuple[bytes, bytes]], class_index: int, statement: bytes
     ) -> str:
-        """Returns the team of a request; whatever clients send, it is one of `leaves`."""
+        """Returns the path of a request's team, which is one of `leaves` whatever the client sends."""
         for rule in self.rules:
             if rule.matches(user, headers, class_index, statement):
                 return rule.team
--- a/lilacfront/teams/settings_file.py
+++ b/lilacfront/teams/settings_file.py
@@ -23,7 +23,7 @@
 MAX_RULES = 10_000
 DEFAULT_BURST_S = 5  # seconds of budget that a team can save up
 MAX_WAIT_LIMIT_S = 3600.0
-TEAM_PATH = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}(/[A-Za-z0-9][A-Za-z0-9._-]{0,63}){0,5}\Z")
+TEAM_PATH_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}(/[A-Za-z0-9][A-Za-z0-9._-]{0,63}){0,5}\Z")
 
 Seconds = Annotated[float, Meta(ge=0, le=MAX_WAIT_LIMIT_S)]
 PositiveSeconds = Annotated[float, Meta(gt=0, le=MAX_WAIT_LIMIT_S)]
@@ -170,7 +170,7 @@
 
 
 def _team(entry: TeamEntry, key: str, classes: _ClassNames) -> TeamSettings:
-    if TEAM_PATH.match(entry.name) is None:
+    if TEAM_PATH_PATTERN.match(entry.name) is None:
         raise TeamsSettingsError(f"{key}.name", f"{entry.name!r} is not a path of up to {MAX_DEPTH} names")
     if entry.burst is not None and entry.budget_rate is None:
         raise TeamsSettingsError(f"{key}.burst", "has no meaning without a budget")
--- a/lilacfront/teams/start_deadlines.py
+++ b/lilacfront/teams/start_deadlines.py
@@ -1,4 +1,4 @@
-"""The latest start times of queued requests, in a heap with lazy deletion."""
+"""Keeps the latest start times of queued requests in a heap with lazy deletion."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 
 from lilacfront.teams.queued_request import QueuedRequest
 
-MAX_STALE_ENTRIES = 256  # beyond twice the queued requests; above that the heap is rebuilt
+MAX_STALE_ENTRIES = 256  # the heap is rebuilt if it has more entries than twice the queued requests plus this
 
 
 class StartDeadlines:
-    """Finds the queued requests whose latest start has come."""
+    """Finds the queued requests whose latest start time has been reached."""
 
     def __init__(self, requests: Mapping[int, QueuedRequest]) -> None:
-        """`requests` are all that have not ended, by number; the caller keeps them up to date."""
+        """Use `requests`, all requests that have not ended by number; the caller keeps it up to date."""
         self._requests = requests
         self._heap: list[tuple[float, int]] = []
 
     def __len__(self) -> int:
-        """Entries in the heap, with stale ones."""
+        """The number of entries in the heap, including stale ones."""
         return len(self._heap)
 
     def add(self, request: QueuedRequest, queued_count: int) -> None:
-        """Add a request; `queued_count` others are queued."""
+        """Add a request; `queued_count` is the number of other queued requests."""
         heapq.heappush(self._heap, (request.latest_start, request.number))
         if len(self._heap) > 2 * queued_count + MAX_STALE_ENTRIES:
             self._heap = [entry for entry in self._heap if self._is_queued(entry[1])]
             heapq.heapify(self._heap)
 
-    def next_due(self) -> float:
-        """The earliest latest start of a queued request; infinity if none is queued."""
+    def earliest(self) -> float:
+        """Returns the first latest start time of all queued requests; infinity if none is queued."""
         while self._heap and not self._is_queued(self._heap[0][1]):
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else math.inf
 
-    def pop_due(self, now: float) -> QueuedRequest | None:
-        """Remove and return a queued request whose latest start has come; None if there is none."""
+    def pop_expired(self, now: float) -> QueuedRequest | None:
+        """Remove and return a queued request whose latest start time is reached; None if there is none."""
         while self._heap and self._heap[0][0] <= now:
             request = self._requests.get(heapq.heappop(self._heap)[1])
             if request is not None and request.admitted_at is None and request.latest_start <= now:
--- a/lilacfront/teams/team_budget.py
+++ b/lilacfront/teams/team_budget.py
@@ -1,8 +1,8 @@
-"""The budget of a team as its request sees it: hierarchical token buckets that lend their surplus.
+"""The budget that applies to a team's requests: hierarchical token buckets (HTB) that lend their surplus.
 
-A bucket's overflow goes to the pool of the node above, from which siblings may borrow. So idle budget is
-lent, and is back the moment its owner needs it, since the owner's own bucket is full by then; nothing that
-runs is interrupted.
+A bucket's overflow goes to the pool of the parent node, from which siblings may borrow. Only overflow is
+lent, so an idle team's own bucket is full by the time that its budget is lent. The team can use its budget
+again immediately, without interrupting running requests.
 """
 
 from __future__ import annotations
@@ -16,12 +16,13 @@
 
 @dataclass(slots=True, frozen=True)
 class BudgetLevel:
-    """One node on the way from a team to the root.
+    """One node on the path from a team to the root.
 
     Attributes:
-        bucket: The node's own budget, if it has one.
-        pool: The surplus of the nodes below it.
-        contributor: The bucket on the way that contributes to this pool, if there is one.
+        bucket: The node's own budget; None if it has none.
+        pool: The surplus budget of the child nodes.
+        contributor: The bucket of the child node on the path, which contributes to this pool; None if the
+            child has none, and at the team's own level.
     """
 
     bucket: TokenBucket | None
@@ -32,8 +33,9 @@
 class TeamBudget:
     """The buckets and pools from one team to the root, the team's own first.
 
-    A request is paid by all buckets on the way; or, borrowed, by the pool of one level and the buckets from
-    that level up. So a loan is still within the budgets above its lender, and no thread-second is lent twice.
+    A request within budget is charged to all buckets on the path. A borrowing request is charged to the pool
+    of one level, the lending level, and to the buckets from that level up. So a loan stays within the budgets
+    above the team that lends, and no thread-second is lent twice.
     """
 
     __slots__ = ("_buckets", "levels")
@@ -48,14 +50,14 @@
         self._buckets = tuple(level.bucket for level in levels if level.bucket is not None)
 
     def covers(self, cost: float) -> bool:
-        """Whether a request of this cost may begin without borrowing."""
+        """Whether a request of this cost may start without borrowing."""
         for bucket in self._buckets:  # noqa: SIM110 - on the path of every request, faster than a generator
             if not bucket.covers(cost):
                 return False
         return True
 
-    def find_lender(self, cost: float) -> int | None:
-        """Returns the nearest level that can lend all of the cost; None if there is none."""
+    def find_lending_level(self, cost: float) -> int | None:
+        """Returns the index of the nearest level that can lend the whole cost; None if there is none."""
         for index, level in enumerate(self.levels):
             available = level.pool.available_to(level.contributor)
             if 0 < cost <= available + ROUNDING_TOLERANCE and self._covered_from(index, cost):
@@ -65,27 +67,28 @@
     def _covered_from(self, index: int, cost: float) -> bool:
         return all(level.bucket is None or level.bucket.covers(cost) for level in self.levels[index:])
 
-    def charge(self, cost: float, lender: int | None = None) -> None:
-        """Charge those that pay for a request, or with a cost below 0 give it back to them.
+    def charge(self, cost: float, lending_level: int | None = None) -> None:
+        """Charge the buckets and the pool that pay for a request; a negative cost is refunded to them.
 
-        What a pool can't pay, because a loan cost more than was estimated, its borrower pays.
+        The part of a loan that the pool can't cover, because the request cost more than was estimated, is
+        charged to the borrower's own buckets.
         """
         uncovered = 0.0
-        if lender is not None:
-            level = self.levels[lender]
+        if lending_level is not None:
+            level = self.levels[lending_level]
             uncovered = level.pool.lend(cost, level.contributor)
         for index, level in enumerate(self.levels):
             if level.bucket is not None:
-                pays_all = lender is None or index >= lender
+                pays_all = lending_level is None or index >= lending_level
                 level.bucket.charge(cost if pays_all else uncovered)
 
     def seconds_until_covered(self, cost: float, cost_ahead: float = 0.0) -> float:
-        """Seconds until it covers `cost`, once `cost_ahead` has been paid before."""
+        """Returns the seconds until the budget covers `cost` after `cost_ahead` has been charged."""
         longest_s = 0.0
         for bucket in self._buckets:
             longest_s = max(longest_s, bucket.seconds_until_covered(cost, cost_ahead))
         return longest_s
 
     def max_loan(self) -> float:
-        """Thread-seconds that any one level could lend now, at most."""
+        """Returns the most thread-seconds that a single level can lend now."""
         return max(level.pool.available_to(level.contributor) for level in self.levels)
--- a/lilacfront/teams/team_tree.py
+++ b/lilacfront/teams/team_tree.py
@@ -1,4 +1,4 @@
-"""The tree of teams: budgets and concurrency of its nodes, and a queue for each leaf."""
+"""The tree of teams: each node has a budget and a concurrency limit, and each leaf has a queue."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from lilacfront.teams.token_bucket import TokenBucket
 
 ROOT_PATH = ""
-MAX_RECENT_DECISIONS = 64  # of each team, kept for diagnosis
+MAX_RECENT_DECISIONS = 64  # kept per team for diagnosis
 
 QueueEntry = tuple[Urgency, QueuedRequest]
 
@@ -29,11 +29,12 @@
     """A node of the tree.
 
     Attributes:
-        settings: None for the root.
-        bucket: Its budget, if it has one.
-        pool: The surplus of the nodes below it.
-        running: Requests of the teams below it, or its own, that are admitted and have not ended.
-        blocked_queues: Queues below it that wait for one of these to end, in the order of their coming.
+        settings: The node's settings; None for the root.
+        bucket: The node's budget; None if it has none.
+        pool: The surplus budget of the child nodes.
+        running: Number of requests of this node's subtree that are admitted and have not ended.
+        blocked_queues: Queues of this node's subtree that wait for a running request to end, in the order
+            in which they were blocked.
     """
 
     settings: TeamSettings | None
@@ -44,7 +45,7 @@
 
     @property
     def is_at_limit(self) -> bool:
-        """Whether as many run as may run at once."""
+        """Whether the number of running requests has reached the node's concurrency limit."""
         limit = self.settings.max_concurrency if self.settings is not None else None
         return limit is not None and self.running >= limit
 
@@ -54,29 +55,29 @@
     """The queue of a leaf, ordered by urgency.
 
     Attributes:
-        settings: Its team's.
-        budget_order: Its node in the order of teams that are within their budgets.
-        borrowing_order: Its node in the order of teams that can only borrow.
-        budget: Its buckets and pools up to the root.
+        settings: The settings of the queue's team.
+        budget_order_node: The queue's leaf in the order of teams that are within their budgets.
+        borrowing_order_node: The queue's leaf in the order of teams that can only borrow.
+        budget: The buckets and pools from the team to the root.
         path: The nodes from the leaf to the root, the leaf first.
         entries: The requests with their urgencies, the most urgent last.
-        queued_bytes: Of all statements.
-        queued_cost: Thread-seconds of all requests.
-        active_order: Where it is active: one of the two orders, or None where nothing may begin.
-        held_until: When the budget is looked at again, where that holds it.
-        recent_decisions: Log lines, for diagnosis.
+        queued_bytes: Total size of the queued statements in bytes.
+        queued_cost: Total expected cost of the queued requests in thread-seconds.
+        active_order_node: The leaf that is active, one of the two above; None if no request may start.
+        throttled_until: Time at which a throttled queue's budget is rechecked.
+        recent_decisions: The latest decisions on the team's requests as text, for diagnosis.
     """
 
     settings: TeamSettings
-    budget_order: FairQueueNode
-    borrowing_order: FairQueueNode
+    budget_order_node: FairQueueNode
+    borrowing_order_node: FairQueueNode
     budget: TeamBudget
     path: tuple[TeamNode, ...]
     entries: list[QueueEntry] = field(default_factory=list)
     queued_bytes: int = 0
     queued_cost: float = 0.0
-    active_order: FairQueueNode | None = None
-    held_until: float = 0.0
+    active_order_node: FairQueueNode | None = None
+    throttled_until: float = 0.0
     recent_decisions: deque[str] = field(default_factory=lambda: deque(maxlen=MAX_RECENT_DECISIONS))
 
     @property
@@ -90,38 +91,41 @@
         return self.entries[0][1]
 
     @property
-    def weighted_cost(self) -> float:
-        """Queued cost over weight."""
+    def cost_per_weight(self) -> float:
+        """The queued cost divided by the team's weight."""
         return self.queued_cost / self.settings.weight
 
     def insert(self, request: QueuedRequest) -> None:
-        """Add a request at its place."""
+        """Insert a request by urgency."""
         insort(self.entries, (request.urgency, request), key=_entry_urgency)
         self.queued_bytes += request.size_bytes
         self.queued_cost += request.cost
 
     def remove(self, request: QueuedRequest) -> None:
-        """Take a request out, which must be in the queue."""
+        """Remove a request, which must be in the queue."""
         index = self._index(request.urgency)
         assert self.entries[index][1] is request
         del self.entries[index]
         self.queued_bytes -= request.size_bytes
-        # Exactly 0 when empty, so that rounding errors can't add up.
+        # Set to exactly 0 when the queue is empty so that rounding errors don't accumulate.
         self.queued_cost = self.queued_cost - request.cost if self.entries else 0.0
 
     def count_more_urgent(self, request: QueuedRequest) -> int:
-        """How many requests are before one that is in the queue."""
+        """Returns the number of requests that are more urgent than a queued one."""
         return len(self.entries) - 1 - self._index(request.urgency)
 
-    def cost_ahead(self, urgent_from: float) -> float:
-        """Thread-seconds before a new request of this urgency, by the mean cost of those queued."""
+    def cost_ahead(self, patience_ends_at: float) -> float:
+        """Returns the expected cost, in thread-seconds, of the requests ahead of a new request.
+
+        It is the number of more urgent requests times the mean cost of all queued requests.
+        """
         if not self.entries:
             return 0.0
-        ahead = len(self.entries) - self._index((-urgent_from, float("-inf")))
+        ahead = len(self.entries) - self._index((-patience_ends_at, float("-inf")))
         return self.queued_cost * ahead / len(self.entries)
 
     def limiting_node(self) -> TeamNode | None:
-        """The nearest node on the path with as many running as may; None if there is none."""
+        """Returns the nearest node on the path that is at its concurrency limit; None if there is none."""
         for node in self.path:
             if node.is_at_limit:
                 return node
@@ -135,14 +139,14 @@
     """All nodes and queues of one version of the settings.
 
     Attributes:
-        settings: The settings that it was built from.
-        queues: By path of the leaf.
+        settings: The settings from which the tree was built.
+        queues: The queue of each leaf, by team path.
         budget_order: The order of service of teams within their budgets.
         borrowing_order: The order of service of teams that can only borrow.
     """
 
     def __init__(self, settings: TeamsSettings, previous: TeamTree | None = None) -> None:
-        """Budget levels carry over from `previous` by path."""
+        """Build the tree; budget levels of nodes with the same path carry over from `previous`."""
         self.settings = settings
         self.queues: dict[str, TeamQueue] = {}
         self.budget_order = FairQueue()
@@ -150,23 +154,23 @@
         self._nodes: dict[str, TeamNode] = {ROOT_PATH: TeamNode(None, None, SurplusPool())}
         self._order_nodes = {ROOT_PATH: (self.budget_order.root, self.borrowing_order.root)}
         self._queue_of: dict[FairQueueNode, TeamQueue] = {}
-        self._refills: list[tuple[TokenBucket, SurplusPool]] = []  # with the pool that takes the overflow
+        self._refills: list[tuple[TokenBucket, SurplusPool]] = []  # bucket, pool for its overflow
         previous_nodes: Mapping[str, TeamNode] = previous._nodes if previous is not None else {}
         for path in sorted(settings.teams, key=lambda name: name.count("/")):
             self._add_node(settings.teams[path], previous_nodes.get(path))
             if path in settings.leaves:
                 self._add_queue(settings.teams[path])
 
-    def queue_of(self, order_node: FairQueueNode) -> TeamQueue:
-        """The queue that a leaf of one of the two orders belongs to."""
+    def queue_of_node(self, order_node: FairQueueNode) -> TeamQueue:
+        """Returns the queue of a leaf of one of the two orders."""
         return self._queue_of[order_node]
 
-    def queue_for(self, team: str) -> TeamQueue:
-        """The queue of a team, or the default team's if there is no such leaf."""
+    def queue_of_team(self, team: str) -> TeamQueue:
+        """Returns the queue of a team; the default team's queue if the tree has no such leaf."""
         return self.queues.get(team) or self.queues[self.settings.default]
 
     def refill(self, seconds: float) -> None:
-        """Fill all buckets with the tokens of `seconds`; overflow goes to the pools above."""
+        """Add the tokens for `seconds` to all buckets; overflow goes to the pools of the parent nodes."""
         for bucket, pool in self._refills:
             if overflow := bucket.refill(seconds):
                 pool.contribute(bucket, overflow)
--- a/lilacfront/teams/thread_capacity.py
+++ b/lilacfront/teams/thread_capacity.py
@@ -7,12 +7,12 @@
 
 @dataclass(slots=True)
 class ThreadCapacity:
-    """Threads of the engines.
+    """The number of threads of all ready engines and how many are in use.
 
     Attributes:
-        cores: Of all ready engines.
-        limit: Threads that may be in use.
-        in_use: Threads of the requests that are admitted and have not ended.
+        cores: Number of cores of all ready engines.
+        limit: Number of threads that may be in use.
+        in_use: Number of threads used by requests that are admitted and have not ended.
     """
 
     cores: float = 0.0
@@ -21,15 +21,15 @@
 
     @property
     def has_free(self) -> bool:
-        """Whether another request may begin."""
+        """Whether another request may start."""
         return self.in_use < self.limit
 
     @property
     def free(self) -> float:
-        """Threads that are not in use."""
+        """The number of threads that are not in use."""
         return max(0.0, self.limit - self.in_use)
 
     def resize(self, cores: float, threads_per_core: float) -> None:
-        """Set the cores of all ready engines."""
+        """Set the number of cores of all ready engines, and the limit that follows from it."""
         self.cores = cores
         self.limit = cores * threads_per_core
--- a/lilacfront/teams/token_bucket.py
+++ b/lilacfront/teams/token_bucket.py
@@ -1,14 +1,14 @@
-"""Token buckets in thread-seconds: the budget of one team."""
+"""Token bucket whose tokens are thread-seconds: the budget of one team."""
 
 from __future__ import annotations
 
-ROUNDING_TOLERANCE = 1e-9  # thread-seconds
+ROUNDING_TOLERANCE = 1e-9  # tolerance in thread-seconds when costs are compared
 
 
 class TokenBucket:
-    """Fills at `rate` thread-seconds a second up to `burst`.
+    """A bucket that fills at `rate` thread-seconds per second up to `burst`.
 
-    `level` may fall below 0: by a request larger than the burst, or one that cost more than was estimated.
+    `level` falls below 0 if a request costs more than the burst or more than was estimated.
     """
 
     __slots__ = ("burst", "level", "rate")
@@ -19,7 +19,7 @@
         self.level = burst
 
     def refill(self, seconds: float) -> float:
-        """Add the tokens of `seconds`; returns what overflowed."""
+        """Add the tokens for `seconds`; returns the overflow."""
         self.level += self.rate * seconds
         overflow = self.level - self.burst
         if overflow <= 0:
@@ -28,16 +28,19 @@
         return overflow
 
     def covers(self, cost: float) -> bool:
-        """Whether a request of this cost may begin.
+        """Whether a request of this cost may start.
 
-        A full bucket is enough for any request, or one larger than the burst never could begin.
+        A full bucket covers any cost; otherwise a request that costs more than the burst could never start.
         """
         return self.level >= min(cost, self.burst) - ROUNDING_TOLERANCE
 
     def charge(self, cost: float) -> None:
-        """Take `cost` out, or with a cost below 0 put it back."""
+        """Remove tokens for `cost`; a negative cost adds tokens."""
         self.level = min(self.burst, self.level - cost)
 
     def seconds_until_covered(self, cost: float, cost_ahead: float) -> float:
-        """Seconds until it covers `cost` once `cost_ahead` is paid; below 0 if it does already."""
+        """Returns the seconds until the bucket covers `cost` after `cost_ahead` is charged.
+
+        The result is below 0 if the bucket holds more than that already.
+        """
         return (cost_ahead + min(cost, self.burst) - self.level) / self.rate
--- a/tests/teams/test_pinned_scheduler.py
+++ b/tests/teams/test_pinned_scheduler.py
@@ -116,11 +116,11 @@
                 self.running.append(number)
                 self.admitted += 1
             else:
-                wait = decision.wait
+                wait = decision.retry_wait
                 told = (decision.retry_after_s, wait.likely, wait.low, wait.high)
                 self.record("rejected", number, str(decision.reason), told)
                 self.reasons[decision.reason] = self.reasons.get(decision.reason, 0) + 1
-        self.record(self.scheduler.next_due())
+        self.record(self.scheduler.next_tick_at())
 
     def enter(self) -> None:
         self.number += 1
@@ -153,7 +153,7 @@
     def tick(self) -> None:
         until = self.now + self.random.choice((0.001, 0.02, 0.2, 1.5))
         for _ in range(40):
-            due = self.scheduler.next_due()
+            due = self.scheduler.next_tick_at()
             if due > until:
                 break
             self.now = max(self.now, due)
--- a/tests/teams/test_scheduler.py
+++ b/tests/teams/test_scheduler.py
@@ -124,7 +124,7 @@
     now = 0.0
     second_admitted_at = None
     while second_admitted_at is None and now < 60:
-        now = scheduler.next_due()
+        now = scheduler.next_tick_at()
         second_admitted_at = now if 2 in admitted(scheduler.tick(now)) else None
     # 2 in the bucket, 20 taken, and 2 wanted: 20 s
     assert second_admitted_at == pytest.approx(20.0, abs=0.2)
--- a/tests/teams/test_scheduler_invariants.py
+++ b/tests/teams/test_scheduler_invariants.py
@@ -49,7 +49,7 @@
 
     team: str
     cost: float
-    lender: int
+    lending_level: int
 
 
 @dataclass(frozen=True)
@@ -59,7 +59,7 @@
     at: float
     team: str
     cost: float
-    lender: int
+    lending_level: int
 
 
 @dataclass(frozen=True)
@@ -98,12 +98,12 @@
             assert self.now - self.arrived_at[decision.number] <= max_wait_s + REFILL_INTERVAL_S
             if isinstance(decision, AdmitRequest):
                 request = self.scheduler._requests[decision.number]
-                lender = request.lender or 0
-                self.running[decision.number] = Running(team, request.cost, lender)
-                self.charges.append(Charge(self.now, team, request.cost, lender))
+                lending_level = request.lending_level or 0
+                self.running[decision.number] = Running(team, request.cost, lending_level)
+                self.charges.append(Charge(self.now, team, request.cost, lending_level))
             else:
                 assert 0.05 <= decision.retry_after_s <= 30.0
-                assert decision.wait.low <= decision.wait.high
+                assert decision.retry_wait.low <= decision.retry_wait.high
 
     @rule(
         team=st.sampled_from(["a/x", "a/y", "b/z", "c", "none"]),
@@ -130,7 +130,7 @@
         # Never more than estimated, so that the budgets' bound needs no allowance for that.
         seconds = share * ended.cost / self.scheduler._requests[number].threads if ran else None
         given_back = (1 - share) * ended.cost if ran else ended.cost
-        self.charges.append(Charge(self.now, ended.team, -given_back, ended.lender))
+        self.charges.append(Charge(self.now, ended.team, -given_back, ended.lending_level))
         self.apply(self.scheduler.request_ended(self.now, number, seconds))
 
     @rule(data=st.data())
@@ -144,8 +144,8 @@
     @rule(seconds=st.sampled_from([0.0, 0.01, 0.05, 0.3, 2.0, 30.0]))
     def wait(self, seconds: float) -> None:
         until = self.now + seconds
-        while self.scheduler.next_due() <= until:
-            self.now = max(self.now, self.scheduler.next_due())
+        while self.scheduler.next_tick_at() <= until:
+            self.now = max(self.now, self.scheduler.next_tick_at())
             self.apply(self.scheduler.tick(self.now))
         self.now = until
         self.apply(self.scheduler.tick(self.now))
@@ -182,7 +182,7 @@
             charges = [
                 charge
                 for charge in self.charges
-                if charge.team in budget.teams and charge.lender < budget.passed_by_level
+                if charge.team in budget.teams and charge.lending_level < budget.passed_by_level
             ]
             for n, first in enumerate(charges):
                 costs = [charge.cost for charge in charges[n:]]
