--- a/lilacfront/discovery/__init__.py
+++ b/lilacfront/discovery/__init__.py
@@ -1,5 +1,5 @@
-"""Where the endpoint list comes from: the platform's change log, or an etcd watch.
+"""Receives the endpoint list from the platform's change log or from an etcd watch.
 
-`endpoint_list`: entries as the sources write them, and their numbers and addresses here. `change_log`,
-`etcd_watch`: the sources.
+`change_log` and `etcd_watch` are the two sources. `endpoint_list` decodes the entries that the sources write
+and assigns engine numbers and addresses to them.
 """
--- a/lilacfront/discovery/change_log.py
+++ b/lilacfront/discovery/change_log.py
@@ -1,7 +1,7 @@
-"""The change log: numbered events over one TCP connection that is renewed whenever it ends.
+"""Client of the change log, which sends numbered events over one TCP connection.
 
-The client sends `since N`; the log answers with one JSON line for each event after N, and with its own number
-alone about once a second.
+The client sends `since N`. The log then sends one JSON line for each event after N, and about once a second a
+line with only its latest sequence number. The client reconnects whenever the connection ends.
 """
 
 from __future__ import annotations
@@ -19,36 +19,37 @@
 log = Log(__name__)
 CONNECT_TIMEOUT_S = 0.5
 SILENCE_TIMEOUT_S = 1.8  # the log sends a whole line every second
-# Drawn from the half to the whole of it, so that a fleet does not reconnect in step. There is no longer
-# backoff: after an outage the log may tell of drains that have to be kept 0.5 s later.
+# Longest delay; the delay is drawn from half of it up to all of it so that the front ends of a fleet don't
+# reconnect in step. It doesn't increase exponentially: after an outage the log may report drains that must be
+# obeyed 0.5 s later.
 RECONNECT_DELAY_S = 0.1
-CATCH_UP_TIMEOUT_S = 0.2  # missed events have begun to arrive this long after they were asked for
-UNREACHABLE_TIMEOUT_S = 1.0  # after the start; then the cached list is used
+CATCH_UP_TIMEOUT_S = 0.2  # missed events start to arrive within this time after the request
+UNREACHABLE_TIMEOUT_S = 1.0  # time after the start at which the cached endpoint list is used without the log
 MAX_LINE_BYTES = 4 << 20
 MAX_QUEUED_BYTES = 1 << 16
 
 
 class ChangeEvent(msgspec.Struct):
-    """One event of the log; kinds of events that are not known here bring no update."""
+    """One event of the log. Events of unknown kinds have no update."""
 
     sequence: int = msgspec.field(name="seq")
     update: EndpointUpdate | None = msgspec.field(name="fleet", default=None)
 
 
 class RawChangeEvent(msgspec.Struct):
-    """An event whose entries are decoded one by one."""
+    """An event whose endpoint entries are not decoded yet, so that each can be decoded separately."""
 
     update: RawEndpointUpdate | None = msgspec.field(name="fleet", default=None)
 
 
 class EventNumber(msgspec.Struct):
-    """The number alone of an event."""
+    """The sequence number of an event, without the rest of the event."""
 
     sequence: int = msgspec.field(name="seq")
 
 
 class CachedEvents(msgspec.Struct):
-    """The log up to the start, from the configuration."""
+    """The events of the log before the start of the process, from the configuration."""
 
     sequence: int = msgspec.field(name="seq", default=0)
     events: list[ChangeEvent] = msgspec.field(name="results", default_factory=list)
@@ -60,15 +61,18 @@
 
 
 class ChangeLog:
-    """Follows the log and hands over each event's update once, in order.
+    """Follows the log and passes each event's update on once, in order.
 
     Attributes:
-        sequence: The last event that was taken.
-        is_caught_up: Whether what the log told while this process started has arrived, or is waited for no
-            longer. Before, a request could be sent to an engine that drains.
-        has_answered: Whether the log itself has told its number since the start.
-        renumbering_wait_s: The log counts as numbered anew when it is behind `sequence` this long; 0: never.
-        on_renumbered: Called then, before all events are asked for again.
+        sequence: Sequence number of the last event that was processed.
+        is_caught_up: Whether the events from before and during the start of this process have been
+            received, or the wait for them has timed out. Until then a request could be sent to a draining
+            engine.
+        has_answered: Whether the log itself has sent its sequence number, at least `sequence`, since the
+            start of this process.
+        renumbering_wait_s: Seconds that the log's own sequence number has to be below `sequence` before the
+            log is considered renumbered from 1; 0 disables the detection.
+        on_renumbered: Called when a renumbering is detected, before all events are requested again.
     """
 
     def __init__(
@@ -93,7 +97,7 @@
         loop.at(loop.now + UNREACHABLE_TIMEOUT_S, self._expire_catch_up)
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Follow the log at this address from now on, from the last event taken."""
+        """Switch to the log at this address, after the last event processed."""
         if address == self.address:
             return
         self.address = address
@@ -129,13 +133,13 @@
             stream.close()
 
     def _follow(self, task: Task, stream: Stream) -> None:
-        """Take events until the connection ends, falls silent, or turns out to have left one out.
+        """Process lines until the connection ends, times out, or a new `since` request is necessary.
 
-        Only a whole line shows that the log is alive: one that stops within a line, or sends it byte by
-        byte, would otherwise be followed for ever.
+        Only a complete line restarts the silence timeout. Otherwise a log that stalls within a line, or sends
+        a line byte by byte, would be followed forever.
         """
         stream.write(b"since %d\n" % self.sequence)
-        rest = b""
+        partial_line = b""
         silence_deadline = self.loop.now + SILENCE_TIMEOUT_S
         catch_up_deadline = self.loop.now + CATCH_UP_TIMEOUT_S
         while True:
@@ -146,18 +150,18 @@
                 continue
             if not isinstance(received, bytes) or not received:
                 return
-            *lines, rest = (rest + received).split(b"\n")
+            *lines, partial_line = (partial_line + received).split(b"\n")
             lines = [line.strip() for line in lines if line.strip()]
             if lines:
                 silence_deadline = self.loop.now + SILENCE_TIMEOUT_S
-            if len(rest) > MAX_LINE_BYTES:
+            if len(partial_line) > MAX_LINE_BYTES:
                 log.warning("change log line too long", max_bytes=MAX_LINE_BYTES)
                 return
             if not all(self._process_line(line) for line in lines):
                 return
 
     def _process_line(self, line: bytes) -> bool:
-        """Take an event or the log's own number; False where the log has to be asked anew."""
+        """Process an event or the log's sequence number; returns False if events must be requested again."""
         event = decode_event(line)
         if isinstance(event, ChangeEvent):
             return self._process_event(event)
@@ -173,22 +177,25 @@
         self.sequence = event.sequence
         return True
 
-    def _process_sequence(self, number: int) -> bool:
-        if number > self.sequence or self._detect_renumbering(number):
+    def _process_sequence(self, log_sequence: int) -> bool:
+        if log_sequence > self.sequence or self._detect_renumbering(log_sequence):
             return False
-        self.has_answered = self.has_answered or number >= self.sequence
+        self.has_answered = self.has_answered or log_sequence >= self.sequence
         self.is_caught_up = True
         return True
 
-    def _detect_renumbering(self, number: int) -> bool:
-        """Whether the log, being at `number`, counts from 1 again; it is then asked for everything."""
-        if self.renumbering_wait_s <= 0 or number >= self.sequence:
+    def _detect_renumbering(self, log_sequence: int) -> bool:
+        """Returns whether the log, now at `log_sequence`, has been renumbered from 1.
+
+        If so, `sequence` is reset so that all events are requested again.
+        """
+        if self.renumbering_wait_s <= 0 or log_sequence >= self.sequence:
             self._behind_since = math.inf
             return False
         self._behind_since = min(self._behind_since, self.loop.now)
         if self.loop.now - self._behind_since < self.renumbering_wait_s:
             return False
-        log.warning("change log renumbered", last_sequence=self.sequence, sequence=number)
+        log.warning("change log renumbered", last_sequence=self.sequence, sequence=log_sequence)
         self.sequence = 0
         self._behind_since = math.inf
         if self.on_renumbered is not None:
@@ -197,21 +204,23 @@
 
 
 def decode_event(line: bytes) -> ChangeEvent | int:
-    """Decode a line: an event, of which entries that can't be decoded are left out, or the log's number.
+    """Decode a line, which is an event or the log's latest sequence number.
+
+    Entries of an event that can't be decoded are logged and left out.
 
     Raises:
-        msgspec.MsgspecError: It is no JSON, or an event without a number.
-        UnicodeDecodeError: It is not UTF-8.
+        msgspec.MsgspecError: The line is not valid JSON, or is an event without a sequence number.
+        UnicodeDecodeError: The line is not valid UTF-8.
     """
     try:
         return _LINE_DECODER.decode(line)
     except msgspec.ValidationError as error:
-        # One entry that can't be decoded must not hide a drain that the same event tells.
+        # An entry that can't be decoded must not prevent a drain in the same event from being processed.
         sequence = _NUMBER_DECODER.decode(line).sequence
         log.warning("change log event partly undecodable", sequence=sequence, error=error)
         try:
             raw_update = _RAW_EVENT_DECODER.decode(line).update
         except msgspec.ValidationError:
-            # An event of an unknown form counts as taken; it would be asked for again for ever.
+            # An event of an unknown form counts as processed. Otherwise it would be requested again forever.
             raw_update = None
         return ChangeEvent(sequence, None if raw_update is None else decode_lenient(raw_update))
--- a/lilacfront/discovery/endpoint_list.py
+++ b/lilacfront/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Entries of the endpoint list as the sources write them, and as the decisions take them."""
+"""Converts entries of the endpoint list from the sources' format to events for the routing decisions."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from lilacfront.logs import Log
 
 log = Log(__name__)
-MAX_UNNAMED_ZONES = 1024  # zones that the settings do not name; more share one number
+MAX_UNNAMED_ZONES = 1024  # zones missing from the settings with a number each; all others share one number
 MAX_PORT = 65535
-ENTRY_EXCERPT_BYTES = 120
+ENTRY_EXCERPT_BYTES = 120  # length of the excerpt that is logged of an undecodable entry
 STATE_BY_LIFECYCLE = {
     "ready": EndpointState.READY,
     "draining": EndpointState.DRAINING,
@@ -24,7 +24,7 @@
 
 
 class EndpointRecord(msgspec.Struct, rename="camel"):
-    """One engine as the change log and etcd write it."""
+    """One engine in the format of the change log and etcd."""
 
     host_port: str
     instance_id: str = ""
@@ -40,9 +40,9 @@
     """A change of the endpoint list, or the whole list.
 
     Attributes:
-        generation: The source's own number of this state of the list.
-        is_snapshot: Whether this is the whole list: engines that are not in it are gone.
-        endpoints: The entries.
+        generation: The number that the source gives to this state of the list.
+        is_snapshot: Whether this is the whole list. If so, engines that are not in it are removed.
+        endpoints: The entries of the update.
     """
 
     generation: int = 0
@@ -51,7 +51,7 @@
 
 
 class RawEndpointUpdate(msgspec.Struct):
-    """The same with entries that are not decoded yet."""
+    """An `EndpointUpdate` whose entries are not decoded yet."""
 
     generation: int = 0
     is_snapshot: bool = msgspec.field(name="reset", default=False)
@@ -62,7 +62,7 @@
 
 
 def decode_lenient(update: RawEndpointUpdate) -> EndpointUpdate:
-    """Decode the entries that can be; the others are logged with their place."""
+    """Decode each entry separately; an entry that can't be decoded is logged with its index and left out."""
     records = []
     for index, raw in enumerate(update.endpoints):
         try:
@@ -74,14 +74,14 @@
 
 
 class EndpointListError(LilacfrontError, ValueError):
-    """An entry, or an address, that can't be used; the text names what is wrong."""
+    """An invalid endpoint entry or address; the message says what is wrong."""
 
 
 def parse_address(text: str, min_port: int = 1) -> tuple[str, int]:
     """Parse `HOST:PORT`.
 
     Raises:
-        EndpointListError: It is something else, or the port is out of range.
+        EndpointListError: The text doesn't have this form, or the port is out of range.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not min_port <= int(port) <= MAX_PORT:
@@ -90,19 +90,22 @@
 
 
 def engine_number(instance_id: str) -> int:
-    """Return the number of an engine: the same at every gateway, so that all share one hash order."""
+    """Return the number of an engine.
+
+    It is a hash of the instance ID, so it is the same at every gateway and all gateways share one hash order.
+    """
     return int.from_bytes(blake2b(instance_id.encode(), digest_size=8).digest(), "big")
 
 
 @dataclass(slots=True)
 class EndpointRegistry:
-    """Turns updates into events for the decisions and remembers the engines' addresses.
+    """Converts updates to events for the routing decisions and keeps the addresses of the engines.
 
     Attributes:
-        zone_names: By zone number, from the settings.
-        machine_types: By number, from the settings.
-        addresses: Of the engines listed so far, by engine number.
-        unnamed_zones: Numbers of zones that the settings do not name.
+        zone_names: Zone names from the settings; the index is the zone number.
+        machine_types: Machine type names from the settings; the index is the machine type number.
+        addresses: Addresses of the listed engines, by engine number.
+        unnamed_zones: Zone numbers, by zone name, of zones that are not in the settings.
     """
 
     zone_names: list[str]
@@ -111,7 +114,10 @@
     unnamed_zones: dict[str, int] = field(default_factory=dict)
 
     def apply(self, update: EndpointUpdate) -> tuple[EndpointList, Mapping[int, tuple[str, int]]]:
-        """Return the event for the decisions, and the addresses of the engines that it names."""
+        """Return the event for the routing decisions, and the addresses of all engines known at that point.
+
+        The addresses still include the engines that the event removes.
+        """
         endpoints = self._usable_endpoints(update)
         scope = ListScope.SNAPSHOT if update.is_snapshot else ListScope.DELTA
         addresses = dict(self.addresses)
@@ -125,7 +131,7 @@
             try:
                 endpoint = self._endpoint(record)
             except EndpointListError as error:
-                # One entry that can't be used must not hide the others.
+                # One invalid entry must not prevent the others from being used.
                 log.warning("endpoint entry unusable", error=error)
                 continue
             if endpoint.engine in seen:
@@ -146,10 +152,10 @@
 
     def _endpoint(self, record: EndpointRecord) -> Endpoint:
         if not record.instance_id:
-            raise EndpointListError("an entry without instanceId")
+            raise EndpointListError("entry without instanceId")
         state = STATE_BY_LIFECYCLE.get(record.lifecycle)
         if state is None:
-            raise EndpointListError(f"lifecycle {record.lifecycle!r} of {record.instance_id}")
+            raise EndpointListError(f"unknown lifecycle {record.lifecycle!r} of {record.instance_id}")
         engine = engine_number(record.instance_id)
         if state is not EndpointState.REMOVED or engine not in self.addresses:
             self.addresses[engine] = parse_address(record.host_port)
@@ -167,9 +173,10 @@
         return self.machine_types.index(name) if name in self.machine_types else 0
 
     def _zone_number(self, name: str) -> int:
-        """Return the number of a zone; one that the settings do not name gets a number of its own.
+        """Return the number of a zone; a zone that is not in the settings gets a number of its own.
 
-        Counted as the first zone, a distant engine would be taken for one in this gateway's own zone.
+        If such zones were counted as the first zone, a distant engine could be treated as one in this
+        gateway's own zone.
         """
         if name in self.zone_names:
             return self.zone_names.index(name)
--- a/lilacfront/discovery/etcd_watch.py
+++ b/lilacfront/discovery/etcd_watch.py
@@ -1,6 +1,7 @@
-"""The endpoint list from etcd v3, through its JSON gateway: a range request, then a watch from there on.
+"""Reads the endpoint list from etcd v3 through its JSON gateway.
 
-Each key under the prefix ends in an engine's id; its value is the entry, as the change log writes it.
+A range request reads the whole list, and a watch from the next revision on reads the changes. Each key is the
+prefix followed by an engine's ID; its value is the endpoint entry in the format of the change log.
 Source: the etcd v3 API, `/v3/kv/range` and `/v3/watch`.
 """
 
@@ -19,8 +20,8 @@
 log = Log(__name__)
 CONNECT_TIMEOUT_S = 1.0
 RANGE_TIMEOUT_S = 5.0
-# etcd is silent while nothing changes, and so is a machine that vanished: after such a silence the whole list
-# is read anew.
+# etcd sends nothing while the list doesn't change, and so does a failed machine. After this time without a
+# line the whole list is read again.
 SILENCE_TIMEOUT_S = 10.0
 MIN_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
@@ -30,13 +31,13 @@
 
 
 class Header(msgspec.Struct):
-    """The head of every answer."""
+    """The header of every answer."""
 
     revision: int = 0
 
 
 class KeyValue(msgspec.Struct):
-    """A key and its value, both in base 64."""
+    """A key and its value, both encoded in base64."""
 
     key: str = ""
     value: str = ""
@@ -50,14 +51,14 @@
 
 
 class WatchEvent(msgspec.Struct):
-    """One change under the prefix."""
+    """One change of a key under the prefix."""
 
     pair: KeyValue = msgspec.field(name="kv")
     type: str = "PUT"
 
 
 class WatchResult(msgspec.Struct):
-    """What one line of a watch tells."""
+    """The result in one line of a watch."""
 
     header: Header = msgspec.field(default_factory=Header)
     events: list[WatchEvent] = []
@@ -66,30 +67,30 @@
 
 
 class WatchLine(msgspec.Struct):
-    """One line of a watch."""
+    """One line of a watch: a result or an error."""
 
     result: WatchResult | None = None
     error: msgspec.Raw = msgspec.Raw(b"")
 
 
-# The gateway writes 64-bit numbers as strings, and some versions as numbers: both are read.
+# The gateway encodes 64-bit integers as strings, or as numbers in some versions. Both are accepted.
 _RANGE_DECODER = msgspec.json.Decoder(RangeAnswer, strict=False)
 _WATCH_DECODER = msgspec.json.Decoder(WatchLine, strict=False)
 _RECORD_DECODER = msgspec.json.Decoder(EndpointRecord)
 
 
 def range_end(prefix: bytes) -> bytes:
-    """Return the first key after all that begin with the prefix; a zero byte, "no end", if there is none."""
+    """Return the first key after all keys with the prefix; a zero byte, meaning no end, if there is none."""
     stem = prefix.rstrip(b"\xff")
     return stem[:-1] + bytes((stem[-1] + 1,)) if stem else b"\0"
 
 
 class EtcdWatch:
-    """Keeps the endpoint list up to date: hands over the whole list first, then each change.
+    """Keeps the endpoint list up to date: passes on the whole list first, then each change.
 
     Attributes:
-        revision: The last revision that was taken.
-        records: The list, by engine id.
+        revision: The last revision that was processed.
+        records: The entries of the list by engine ID.
     """
 
     def __init__(
@@ -112,7 +113,7 @@
         }
 
     def run(self, task: Task) -> None:
-        """List and watch for as long as the process runs, at one endpoint after another."""
+        """List and watch for as long as the process runs; after a failure, switch to the next endpoint."""
         attempt = 0
         while not task.interrupted:
             endpoint = self.endpoints[attempt % len(self.endpoints)]
@@ -122,7 +123,7 @@
             self.loop.sleep(task, self.loop.now + self._backoff_s)
 
     def _list_and_watch(self, task: Task, endpoint: tuple[str, int]) -> bool:
-        """Whether the list was read, and the watch ended without an error."""
+        """List and watch once; returns whether the list was read and the watch ended without an error."""
         try:
             if not self._read_list(task, endpoint):
                 return False
@@ -141,17 +142,17 @@
         stream = Stream.connect(self.loop, task, endpoint, deadline, MAX_QUEUED_BYTES)
         if not isinstance(stream, Stream):
             return None
-        text = msgspec.json.encode(body)
+        payload = msgspec.json.encode(body)
         headers = [
             (b"Host", b"%s:%d" % (endpoint[0].encode(), endpoint[1])),
             (b"Content-Type", b"application/json"),
-            (b"Content-Length", b"%d" % len(text)),
+            (b"Content-Length", b"%d" % len(payload)),
         ]
-        stream.write(http1.request(b"POST", path, headers) + text)
+        stream.write(http1.request(b"POST", path, headers) + payload)
         return stream
 
     def _read_list(self, task: Task, endpoint: tuple[str, int]) -> bool:
-        """Read the whole list; engines that are not in it are gone."""
+        """Read the whole list, which replaces all entries; returns whether it could be read."""
         stream = self._post(task, endpoint, b"/v3/kv/range", self._key_range)
         if stream is None:
             return False
@@ -190,9 +191,9 @@
         self._on_update(EndpointUpdate(self.revision, True, list(self.records.values())))
 
     def _watch(self, task: Task, endpoint: tuple[str, int]) -> None:
-        """Take changes until the watch ends, is cancelled or compacted away, or falls silent."""
-        create = {"create_request": {**self._key_range, "start_revision": str(self.revision + 1)}}
-        stream = self._post(task, endpoint, b"/v3/watch", create)
+        """Process changes until the watch ends, is cancelled, its revision is compacted, or it times out."""
+        request = {"create_request": {**self._key_range, "start_revision": str(self.revision + 1)}}
+        stream = self._post(task, endpoint, b"/v3/watch", request)
         if stream is None:
             return
         try:
@@ -201,19 +202,22 @@
             stream.close()
 
     def _follow(self, task: Task, stream: Stream) -> None:
-        """Only a whole line shows that the watch is alive, not bytes that arrive one by one."""
+        """Process lines until the watch ends or times out.
+
+        Only a complete line restarts the silence timeout; bytes that arrive one by one don't.
+        """
         parser = http1.Parser(responses=True)
-        rest = b""
+        partial_line = b""
         deadline = self.loop.now + SILENCE_TIMEOUT_S
         while isinstance(received := stream.read(task, deadline), bytes):
             for part in parser.feed(received) if received else [http1.End()]:
                 if isinstance(part, http1.Head):
                     _check_status(part, "watch")
-                if isinstance(part, http1.End) or len(rest) > MAX_ANSWER_BYTES:
+                if isinstance(part, http1.End) or len(partial_line) > MAX_ANSWER_BYTES:
                     return
                 if not isinstance(part, http1.Body):
                     continue
-                *lines, rest = (rest + part.data).split(b"\n")
+                *lines, partial_line = (partial_line + part.data).split(b"\n")
                 for line in lines:
                     if not line.strip():
                         continue
@@ -222,7 +226,7 @@
                         return
 
     def _process_line(self, line: WatchLine) -> bool:
-        """Take the changes of one line; False where the watch is over."""
+        """Process the changes in one line; returns False if the watch has ended."""
         result = line.result
         if result is None or result.is_cancelled or result.compact_revision:
             return False
@@ -245,7 +249,7 @@
         try:
             record = _RECORD_DECODER.decode(b64decode(pair.value))
         except (msgspec.MsgspecError, ValueError) as error:
-            # One entry that can't be decoded must not hide the others.
+            # One entry that can't be decoded must not prevent the others from being used.
             log.warning("etcd entry undecodable", engine_id=engine_id, error=error)
             return None
         record.instance_id = engine_id
@@ -258,4 +262,4 @@
 
 def _check_status(head: http1.Head, request: str) -> None:
     if head.status != STATUS_OK:
-        raise http1.HttpError(head.status, f"{request} answered with status {head.status}")
+        raise http1.HttpError(head.status, f"etcd {request} request failed with status {head.status}")
--- a/lilacfront/teams/cli.py
+++ b/lilacfront/teams/cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront teams`: check a file of teams."""
+"""The `lilacfront teams` commands, which check a teams file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def class_names(config: Path | None) -> tuple[str, ...]:
-    """Returns the names of the classes that a configuration sets, or the default ones without it."""
+    """Returns the class names of a configuration file; the default names if `config` is None."""
     if config is None:
         return DEFAULT_CLASSES
     try:
@@ -35,23 +35,26 @@
 @click.option(
     "--config",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="The configuration whose classes count; by default lookup, report and load.",
+    help="Configuration file that defines the request classes (default: lookup, report and load).",
 )
 def check(file: Path, config: Path | None) -> None:
-    """Check FILE and show its tree; ends with 1 and the faulty key where it can't be used."""
+    """Check FILE and print its team tree.
+
+    If FILE is invalid, prints the invalid key and exits with status 1.
+    """
     try:
         settings = parse_teams(file.read_bytes(), class_names(config))
     except (TeamsSettingsError, OSError) as error:
         raise click.ClickException(f"{file}: {error}") from error
     if settings is None:
-        click.echo(f"{file}: no teams, the queues are off")
+        click.echo(f"{file}: no teams are listed; team queues are disabled")
         return
     for line in describe(settings):
         click.echo(line)
 
 
 def describe(settings: TeamsSettings) -> Iterator[str]:
-    """Yields a line for each node of the tree, indented, and a summary."""
+    """Yields one indented line for each node of the tree, and a summary line."""
     for name in sorted(settings.teams):
         yield _describe_team(settings.teams[name], is_default=name == settings.default)
     yield f"{len(settings.leaves)} teams, {len(settings.rules)} rules"
@@ -62,7 +65,7 @@
     last_name = team.name.rpartition("/")[2]
     budget = ""
     if team.budget_rate is not None:
-        budget = f", budget {team.budget_rate:g} with {team.burst:g} saved"
-    limit = "" if team.max_concurrency is None else f", {team.max_concurrency} at once"
+        budget = f", budget {team.budget_rate:g}, burst {team.burst:g}"
+    limit = "" if team.max_concurrency is None else f", max. concurrency {team.max_concurrency}"
     default = " (default)" if is_default else ""
     return f"{indent}{last_name}: weight {team.weight:g}{budget}{limit}{default}"
--- a/lilacfront/teams/settings_file.py
+++ b/lilacfront/teams/settings_file.py
@@ -1,4 +1,4 @@
-"""Reads the settings of teams from TOML. Every error names the faulty key."""
+"""Reads the settings of teams from TOML. Every error names the invalid key."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     ancestor_paths,
 )
 
-MAX_DEPTH = 6
+MAX_DEPTH = 6  # names in a team path
 MAX_TEAMS = 10_000
 MAX_RULES = 10_000
-DEFAULT_BURST_S = 5  # seconds of budget that a team can save up
-MAX_WAIT_LIMIT_S = 3600.0
+DEFAULT_BURST_S = 5  # the default burst is the budget of this many seconds
+MAX_WAIT_LIMIT_S = 3600.0  # largest value of any setting in seconds
 TEAM_PATH_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}(/[A-Za-z0-9][A-Za-z0-9._-]{0,63}){0,5}\Z")
 
 Seconds = Annotated[float, Meta(ge=0, le=MAX_WAIT_LIMIT_S)]
@@ -41,7 +41,7 @@
         "borrowing_classes": "borrow",
     },
 ):
-    """[[team]]: one node of the tree, named by its path. The nodes above it need not be listed."""
+    """A [[team]] table: one node of the tree, named by its path. Its ancestors need not be listed."""
 
     name: str
     weight: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
@@ -56,13 +56,16 @@
 
 
 class RuleEntry(msgspec.Struct, forbid_unknown_fields=True, rename={"class_name": "class"}):
-    """[[rule]]: the first one that matches a request gives its team; what is left out matches anything."""
+    """A [[rule]] table: the first rule that matches a request sets its team.
+
+    A condition that is left out matches every request.
+    """
 
     team: str
     user: str = ""
-    header: str = ""  # "Name: value"; never matches where a front end has no headers
+    header: str = ""  # "Name: value"; never matches requests of a protocol without headers
     class_name: str = ""
-    pattern: str = ""  # a regular expression to find in the statement
+    pattern: str = ""  # regular expression that is searched for in the statement
 
 
 class TeamsFile(
@@ -78,7 +81,7 @@
         "threads_per_core": "fill",
     },
 ):
-    """The whole file. Without any [[team]] there are no queues."""
+    """The whole file. Team queues are disabled if it has no [[team]] table."""
 
     teams: Annotated[list[TeamEntry], Meta(max_length=MAX_TEAMS)] = []
     rules: Annotated[list[RuleEntry], Meta(max_length=MAX_RULES)] = []
@@ -91,33 +94,35 @@
 
 
 def parse_teams(text: bytes, class_names: Sequence[str]) -> TeamsSettings | None:
-    """Read and check the text of a file.
+    """Parse and check the contents of a teams file.
 
     Args:
-        text: TOML.
-        class_names: The request classes that it may name, in the order of the settings.
+        text: Contents of the file, as TOML.
+        class_names: Names of the request classes in the order of their indices.
 
     Returns:
-        The settings, or None where the file has no teams.
+        The settings; None if the file lists no teams.
 
     Raises:
-        TeamsSettingsError: The text can't be used.
+        TeamsSettingsError: The file is not valid TOML or a setting is invalid.
     """
     file = _decode(text)
     if not file.teams:
         if file.rules or file.default:
-            raise TeamsSettingsError("team", "none is listed, but there are rules or a default")
+            raise TeamsSettingsError("team", "no [[team]] is listed, but a [[rule]] or a default is set")
         return None
-    classes = _ClassNames(class_names)
-    teams = _teams(file.teams, classes)
-    inner = {path for name in teams for path in ancestor_paths(name)}
-    leaves = frozenset(teams) - inner
+    classes = _ClassIndices(class_names)
+    teams = _build_teams(file.teams, classes)
+    ancestors = {path for name in teams for path in ancestor_paths(name)}
+    leaves = frozenset(teams) - ancestors
     _check_budgets(file.teams, teams)
-    rules = tuple(_rule(entry, f"rule[{n}]", leaves, classes) for n, entry in enumerate(file.rules))
+    rules = tuple(
+        _build_rule(entry, f"rule[{index}]", leaves, classes) for index, entry in enumerate(file.rules)
+    )
     if file.default not in leaves:
-        raise TeamsSettingsError("default", f"{file.default!r} is no team without others below it")
+        raise TeamsSettingsError("default", f"{file.default!r} is not a listed team without child teams")
     if file.min_retry_after_s > file.max_retry_after_s:
-        raise TeamsSettingsError("pushback_least_s", "more than pushback_most_s")
+        raise TeamsSettingsError("pushback_least_s", "is more than pushback_most_s")
     return TeamsSettings(
         teams=teams,
         leaves=leaves,
@@ -138,42 +143,44 @@
         problem, _, path = str(error).partition(" - at `$")
         raise TeamsSettingsError(path.rstrip("`").lstrip("."), problem) from None
     except (msgspec.MsgspecError, ValueError) as error:
-        raise TeamsSettingsError("", f"not TOML: {error}") from None
+        raise TeamsSettingsError("", f"invalid TOML: {error}") from None
 
 
-class _ClassNames:
-    """Indices of request classes by name."""
+class _ClassIndices:
+    """Maps the names of request classes to their indices."""
 
     def __init__(self, names: Sequence[str]) -> None:
         self._names = names
         self._indices = {name: index for index, name in enumerate(names)}
 
     def index(self, name: str, key: str) -> int:
-        """Returns the index of a class that the setting `key` names."""
+        """Returns the index of the class that the setting `key` names; raises an error for other names."""
         if name not in self._indices:
-            raise TeamsSettingsError(key, f"{name!r} is none of the classes {', '.join(self._names)}")
+            raise TeamsSettingsError(key, f"{name!r} is not one of the classes {', '.join(self._names)}")
         return self._indices[name]
 
 
-def _teams(entries: Sequence[TeamEntry], classes: _ClassNames) -> dict[str, TeamSettings]:
-    """The teams of the file in its order, then the nodes above them that are not listed."""
+def _build_teams(entries: Sequence[TeamEntry], classes: _ClassIndices) -> dict[str, TeamSettings]:
+    """Returns the listed teams in file order, followed by their ancestors that are not listed."""
     teams: dict[str, TeamSettings] = {}
-    for n, entry in enumerate(entries):
-        key = f"team[{n}]"
+    for index, entry in enumerate(entries):
+        key = f"team[{index}]"
         if entry.name in teams:
             raise TeamsSettingsError(f"{key}.name", f"{entry.name!r} is listed twice")
-        teams[entry.name] = _team(entry, key, classes)
+        teams[entry.name] = _build_team(entry, key, classes)
     for name in list(teams):
         for path in ancestor_paths(name):
-            teams.setdefault(path, _unlisted_team(path))
+            teams.setdefault(path, _build_unlisted_team(path))
     return teams
 
 
-def _team(entry: TeamEntry, key: str, classes: _ClassNames) -> TeamSettings:
+def _build_team(entry: TeamEntry, key: str, classes: _ClassIndices) -> TeamSettings:
     if TEAM_PATH_PATTERN.match(entry.name) is None:
-        raise TeamsSettingsError(f"{key}.name", f"{entry.name!r} is not a path of up to {MAX_DEPTH} names")
+        raise TeamsSettingsError(
+            f"{key}.name", f"{entry.name!r} is not a path of up to {MAX_DEPTH} valid names"
+        )
     if entry.burst is not None and entry.budget_rate is None:
-        raise TeamsSettingsError(f"{key}.burst", "has no meaning without a budget")
+        raise TeamsSettingsError(f"{key}.burst", "is set, but the team has no budget")
     borrowing_classes = None
     if entry.borrowing_classes is not None:
         borrowing_classes = frozenset(
@@ -196,8 +203,8 @@
     )
 
 
-def _unlisted_team(path: str) -> TeamSettings:
-    """A node that only groups others."""
+def _build_unlisted_team(path: str) -> TeamSettings:
+    """Returns the default settings of a node that only groups its child teams."""
     return TeamSettings(
         name=path,
         weight=1.0,
@@ -213,34 +220,34 @@
 
 
 def _check_budgets(entries: Sequence[TeamEntry], teams: Mapping[str, TeamSettings]) -> None:
-    """A budget larger than the one of a node above it could never be used."""
-    for n, entry in enumerate(entries):
+    """Raise an error for a budget that exceeds an ancestor's, as it could never be fully used."""
+    for index, entry in enumerate(entries):
         if entry.budget_rate is None:
             continue
         for path in ancestor_paths(entry.name):
             limit = teams[path].budget_rate
             if limit is not None and entry.budget_rate > limit:
-                problem = f"{entry.budget_rate:g} is more than the {limit:g} of {path!r}"
-                raise TeamsSettingsError(f"team[{n}].budget", problem)
+                problem = f"{entry.budget_rate:g} is more than the budget {limit:g} of {path!r}"
+                raise TeamsSettingsError(f"team[{index}].budget", problem)
 
 
-def _rule(entry: RuleEntry, key: str, leaves: frozenset[str], classes: _ClassNames) -> TeamRule:
+def _build_rule(entry: RuleEntry, key: str, leaves: frozenset[str], classes: _ClassIndices) -> TeamRule:
     if entry.team not in leaves:
-        raise TeamsSettingsError(f"{key}.team", f"{entry.team!r} is no team without others below it")
-    header = _header(entry.header, f"{key}.header") if entry.header else None
-    pattern = _pattern(entry.pattern, f"{key}.pattern") if entry.pattern else None
+        raise TeamsSettingsError(f"{key}.team", f"{entry.team!r} is not a listed team without child teams")
+    header = _parse_header(entry.header, f"{key}.header") if entry.header else None
+    pattern = _parse_pattern(entry.pattern, f"{key}.pattern") if entry.pattern else None
     class_index = classes.index(entry.class_name, f"{key}.class") if entry.class_name else None
     return TeamRule(entry.team, entry.user.encode(), header, class_index, pattern)
 
 
-def _header(text: str, key: str) -> tuple[bytes, bytes]:
+def _parse_header(text: str, key: str) -> tuple[bytes, bytes]:
     name, colon, value = text.partition(":")
     if not colon:
-        raise TeamsSettingsError(key, f"{text!r} is not 'Name: value'")
+        raise TeamsSettingsError(key, f"{text!r} does not have the form 'Name: value'")
     return name.strip().lower().encode(), value.strip().encode()
 
 
-def _pattern(text: str, key: str) -> re.Pattern[bytes]:
+def _parse_pattern(text: str, key: str) -> re.Pattern[bytes]:
     try:
         return re.compile(text.encode(), re.IGNORECASE | re.DOTALL)
     except re.error as error:
