--- a/lilacfront/teams/scheduler.py
+++ b/lilacfront/teams/scheduler.py
@@ -1,7 +1,7 @@
 """Decides which queued request is admitted to the router next, and which requests are rejected.
 
-All methods take the current time of the caller's clock in seconds and return decisions: `AdmitRequest` and
-`RejectRequest`. Each enqueued request gets exactly one decision, unless it is removed first. The scheduler
+Events are methods that take the current time in seconds on the caller's clock and return decisions:
+`AdmitRequest` and `RejectRequest`. Each enqueued request gets exactly one decision, unless it is removed first. The scheduler
 guarantees (`docs/design/teams.md`):
 
 - A request waits no longer than its team's `max_wait_s`. It also doesn't wait past the time from which fewer
@@ -105,7 +105,7 @@
         self._insert(now, request)
         return decisions + self._dispatch(now)
 
-    def remove(self, now: float, number: int) -> list[TeamDecision]:  # noqa: ARG002 - as all events
+    def remove(self, now: float, number: int) -> list[TeamDecision]:  # noqa: ARG002 - same form as the other events
         """Drop a queued request whose client is gone; an admitted one stays until `request_ended`."""
         request = self._requests.get(number)
         if request is not None and request.admitted_at is None:
@@ -144,10 +144,10 @@
     def replace_settings(self, now: float, settings: TeamsSettings) -> list[TeamDecision]:
         """Apply new settings.
 
-        Queued requests keep their position, or are rejected if they exceed the new bounds; those whose team
-        no longer exists move to the default team.
-        Budget levels of teams with the same path and all learned values carry over. Running requests
-        continue and are charged to their team, or to the default team if theirs no longer exists.
+        Queued requests keep their position, or are rejected if they exceed the new bounds. Requests whose
+        team no longer exists move to the default team. Budget levels carry over by team path, and all
+        learned values carry over. Running requests continue and are charged to their team, or to the
+        default team if theirs no longer exists.
         """
         previous = self._tree
         self._tree = TeamTree(settings, previous)
@@ -222,8 +222,8 @@
 
     # ---- dispatch -----------------------------------------------------------------------------------
     def _refill(self, now: float) -> None:
-        # `next_tick_at` computes the same sum. A difference by a rounding error could make the caller tick
-        # at a time that is never late enough for a refill.
+        # `next_tick_at` computes the same sum. If the two differed by a rounding error, the caller could tick
+        # repeatedly at a time that is still too early for a refill.
         if now < self._refilled_at + REFILL_INTERVAL_S:
             return
         seconds = now - self._refilled_at
--- a/tests/team_builders.py
+++ b/tests/team_builders.py
@@ -1,4 +1,4 @@
-"""Builders for the tests of teams: a file, its settings, a scheduler, and what it decided."""
+"""Helpers for the tests of teams: build settings and a scheduler, and summarise its decisions."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 CLASSES = ("lookup", "report", "load")
 LOOKUP, REPORT, LOAD = range(3)
 THREADS = (1, 4, 2)
-KNOWN_STATEMENT = b"known"
-NO_DEADLINE = 1e9
+KNOWN_STATEMENT = b"known"  # the scheduler has learned its execution time
+NO_DEADLINE = 1e9  # seconds; later than any time in the tests
 TEAMS_FILE = """
 default = "others"
 [[team]]
@@ -41,14 +41,14 @@
 
 
 def teams_settings(text: str = TEAMS_FILE) -> TeamsSettings:
-    """The settings of a file, which must have teams."""
+    """Returns the settings of a file, which must list teams."""
     settings = parse_teams(text.encode(), CLASSES)
     assert settings is not None
     return settings
 
 
 def team_scheduler(text: str = TEAMS_FILE, cores: float = 8.0, known_s: float = 1.0) -> TeamScheduler:
-    """A scheduler at time 0 that expects `known_s` of each request with `KNOWN_STATEMENT`."""
+    """Returns a scheduler at time 0 that expects `known_s` seconds of each request with `KNOWN_STATEMENT`."""
     cost_model = CostModel(THREADS, 0.0)
     for class_index in range(len(CLASSES)):
         cost_model.record(class_index, statement_fingerprint(KNOWN_STATEMENT), known_s, 0.0)
@@ -58,10 +58,10 @@
 
 
 def admitted(decisions: list[TeamDecision]) -> list[int]:
-    """The numbers of admitted requests, in order."""
+    """Returns the numbers of the admitted requests, in order."""
     return [decision.number for decision in decisions if isinstance(decision, AdmitRequest)]
 
 
 def rejected(decisions: list[TeamDecision]) -> dict[int, str]:
-    """The reasons of rejected requests, by number."""
+    """Returns the reasons of the rejected requests, by request number."""
     return {decision.number: decision.reason for decision in decisions if isinstance(decision, RejectRequest)}
--- a/tests/teams/test_cost_model.py
+++ b/tests/teams/test_cost_model.py
@@ -1,11 +1,11 @@
-"""Fingerprints of statements, by which costs are learned."""
+"""Tests of statement fingerprints, under which costs are learned."""
 
 from __future__ import annotations
 
 from lilacfront.teams.cost_model import statement_fingerprint
 
 
-def test_statements_that_differ_in_literals_have_one_fingerprint() -> None:
+def test_fingerprint_ignores_literals() -> None:
     statements = [b"SELECT a FROM s_17.t WHERE x = 1", b"select  a\nfrom s_4.t where x = 99.5"]
     assert len({statement_fingerprint(statement) for statement in statements}) == 1
     quoted = statement_fingerprint(b"SELECT 'it''s'")
--- a/tests/teams/test_pinned_scheduler.py
+++ b/tests/teams/test_pinned_scheduler.py
@@ -1,7 +1,7 @@
-"""Seeded streams of calls on the team scheduler: every decision is held against a recorded digest.
+"""Compares the decisions of the team scheduler on seeded random calls with recorded digests.
 
-The digests were made by the program as it stood before its modules were taken apart. A change that alters
-one of them alters which requests are admitted, rejected or displaced, when, or what clients are told.
+The digests were recorded before the scheduler was split into modules. A digest that differs means that other
+requests are admitted, rejected or displaced, at other times, or with other Retry-After or wait estimates.
 """
 
 from __future__ import annotations
@@ -83,56 +83,57 @@
 
 
 def settings(text: str) -> TeamsSettings:
-    made = parse_teams(text.encode(), CLASSES)
-    assert made is not None
-    return made
+    parsed = parse_teams(text.encode(), CLASSES)
+    assert parsed is not None
+    return parsed
 
 
 class Recording:
-    """A scheduler under a seeded stream of calls, and the digest of all that it decided."""
+    """Makes seeded random calls on a scheduler and computes the digest of all its decisions."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.now = 1000.0
         self.scheduler = TeamScheduler(settings(TREE), CostModel(THREADS, self.now), self.now)
         self.digest = hashlib.sha256()
-        self.waiting: list[int] = []
+        self.queued: list[int] = []
         self.running: list[int] = []
-        self.number = 0
-        self.admitted = 0
-        self.reasons: dict[str, int] = {}
+        self.last_number = 0
+        self.admitted_count = 0
+        self.reason_counts: dict[str, int] = {}
 
     def record(self, *values: object) -> None:
         self.digest.update(repr(values).encode())
 
-    def decided(self, call: str, decisions: list[TeamDecision]) -> None:
+    def record_decisions(self, call: str, decisions: list[TeamDecision]) -> None:
+        """Add decisions to the digest; `call` is part of it, so its values must not be renamed."""
         self.record(call, self.now, len(decisions))
         for decision in decisions:
             number = decision.number
-            if number in self.waiting:
-                self.waiting.remove(number)
+            if number in self.queued:
+                self.queued.remove(number)
             if isinstance(decision, AdmitRequest):
                 self.record("admitted", number)
                 self.running.append(number)
-                self.admitted += 1
+                self.admitted_count += 1
             else:
-                wait = decision.retry_wait
-                told = (decision.retry_after_s, wait.likely, wait.low, wait.high)
-                self.record("rejected", number, str(decision.reason), told)
-                self.reasons[decision.reason] = self.reasons.get(decision.reason, 0) + 1
+                retry_wait = decision.retry_wait
+                rejection = (decision.retry_after_s, retry_wait.likely, retry_wait.low, retry_wait.high)
+                self.record("rejected", number, str(decision.reason), rejection)
+                self.reason_counts[decision.reason] = self.reason_counts.get(decision.reason, 0) + 1
         self.record(self.scheduler.next_tick_at())
 
-    def enter(self) -> None:
-        self.number += 1
-        number = self.number
+    def enqueue(self) -> None:
+        self.last_number += 1
+        number = self.last_number
         team = self.random.choice(TEAMS)
         class_index = self.random.choice((0, 0, 0, 1, 2))
         statement = b"select %d from t%s" % (number, b"abcdefg"[number % 5 : number % 5 + 1])
         statement += b" " * self.random.choice((0, 0, 400, 2000))
         deadline = self.now + self.random.choice((0.05, 0.8, 4.0, 20.0, 60.0))
-        self.waiting.append(number)
+        self.queued.append(number)
         decisions = self.scheduler.enqueue(self.now, number, team, class_index, statement, deadline)
-        self.decided("enter", decisions)
+        self.record_decisions("enter", decisions)
         estimate = self.scheduler.wait_estimate(number)
         if estimate is not None:
             self.record(estimate.likely, estimate.low, estimate.high)
@@ -142,34 +143,34 @@
             return
         number = self.running.pop(self.random.randrange(len(self.running)))
         seconds = self.random.choice((None, self.random.lognormvariate(-1.5, 1.0)))
-        self.decided("ended", self.scheduler.request_ended(self.now, number, seconds))
+        self.record_decisions("ended", self.scheduler.request_ended(self.now, number, seconds))
 
-    def leave(self) -> None:
-        if not self.waiting:
+    def remove(self) -> None:
+        if not self.queued:
             return
-        number = self.waiting.pop(self.random.randrange(len(self.waiting)))
-        self.decided("leave", self.scheduler.remove(self.now, number))
+        number = self.queued.pop(self.random.randrange(len(self.queued)))
+        self.record_decisions("leave", self.scheduler.remove(self.now, number))
 
     def tick(self) -> None:
         until = self.now + self.random.choice((0.001, 0.02, 0.2, 1.5))
         for _ in range(40):
-            due = self.scheduler.next_tick_at()
-            if due > until:
+            tick_at = self.scheduler.next_tick_at()
+            if tick_at > until:
                 break
-            self.now = max(self.now, due)
-            self.decided("tick", self.scheduler.tick(self.now))
+            self.now = max(self.now, tick_at)
+            self.record_decisions("tick", self.scheduler.tick(self.now))
         self.now = until
 
     def change_capacity(self) -> None:
         cores = self.random.choice((0.0, 8.0, 16.0, 24.0, 24.0))
-        self.decided("capacity", self.scheduler.set_capacity(self.now, cores))
+        self.record_decisions("capacity", self.scheduler.set_capacity(self.now, cores))
 
     def change_settings(self) -> None:
         text = self.random.choice((TREE, OTHER_TREE))
-        self.decided("replace", self.scheduler.replace_settings(self.now, settings(text)))
+        self.record_decisions("replace", self.scheduler.replace_settings(self.now, settings(text)))
 
     def explain(self) -> None:
-        known = self.waiting + self.running
+        known = self.queued + self.running
         if known:
             number = self.random.choice(known)
             explanation = self.scheduler.explain(self.now, number)
@@ -177,15 +178,15 @@
             self.record(*dataclasses.astuple(explanation))
 
     def run(self) -> str:
-        self.decided("capacity", self.scheduler.set_capacity(self.now, 16.0))
-        calls = (self.enter, self.end, self.tick, self.leave, self.explain)
-        rare = (self.change_capacity, self.change_settings)
+        self.record_decisions("capacity", self.scheduler.set_capacity(self.now, 16.0))
+        calls = (self.enqueue, self.end, self.tick, self.remove, self.explain)
+        rare_calls = (self.change_capacity, self.change_settings)
         for step in range(STEPS):
-            # Bursts of arrivals between calmer stretches, so that queues fill and drain.
+            # Bursts of arrivals alternate with periods of low load, so that queues fill and drain.
             weights = (10, 3, 2, 1, 1) if step % 400 < 150 else (3, 4, 3, 1, 1)
             call = self.random.choices(calls, weights)[0]
             if step % 300 == 299:
-                call = self.random.choice(rare)
+                call = self.random.choice(rare_calls)
             call()
         return self.digest.hexdigest()
 
@@ -201,8 +202,8 @@
 
 
 @pytest.mark.parametrize(("seed", "digest"), DIGESTS.items())
-def test_every_decision_is_as_recorded(seed: int, digest: str) -> None:
+def test_decisions_match_the_recorded_digest(seed: int, digest: str) -> None:
     recording = Recording(seed)
     assert recording.run() == digest
-    assert recording.admitted > 500
-    assert set(recording.reasons) == {"late", "waited", "full", "displaced"}
+    assert recording.admitted_count > 500
+    assert set(recording.reason_counts) == {"late", "waited", "full", "displaced"}
--- a/tests/teams/test_scheduler.py
+++ b/tests/teams/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of teams: fair service, budgets, displacement, waits. The tests bring the clock."""
+"""Tests of the team scheduler: fair service, budgets, waits, displacement and limits. No real clock."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 # ---- fair service -----------------------------------------------------------------------------------
-def test_busy_teams_are_served_by_weight_and_cost_not_by_count() -> None:
+def test_busy_teams_are_served_by_weight_and_cost() -> None:
     scheduler = team_scheduler()
     number = 0
     for _ in range(60):
@@ -44,30 +44,33 @@
             enqueue(scheduler, 0.0, number, team, class_index)
     served: Counter[str] = Counter()
     running: dict[int, QueuedRequest] = {
-        n: request for n, request in scheduler._requests.items() if request.admitted_at is not None
+        admitted_number: request
+        for admitted_number, request in scheduler._requests.items()
+        if request.admitted_at is not None
     }
 
-    def begin(decisions: list[TeamDecision]) -> None:
-        for begun in admitted(decisions):
-            request = running[begun] = scheduler._requests[begun]
+    def start_admitted(decisions: list[TeamDecision]) -> None:
+        for admitted_number in admitted(decisions):
+            request = running[admitted_number] = scheduler._requests[admitted_number]
             served[request.queue.settings.name] += request.threads
 
     now = 0.0
     while now < 8.0:
         now += 0.25
-        for n, request in list(running.items()):
+        for running_number, request in list(running.items()):
             if request.admitted_at is not None and now >= request.admitted_at + EXECUTION_S:
-                del running[n]
-                begin(scheduler.request_ended(now, n, EXECUTION_S))
-        begin(scheduler.tick(now))
-    # Three nodes below the root, each of weight 1; support has a budget of 4 a second, and a third is less.
+                del running[running_number]
+                start_admitted(scheduler.request_ended(now, running_number, EXECUTION_S))
+        start_admitted(scheduler.tick(now))
+    # The three children of the root have weight 1 each. A third of the 8 threads is below the budget of
+    # `support`, 4 thread-seconds per second.
     total = served.total()
     assert served["customers/acme"] / total == pytest.approx(1 / 3, abs=0.08)
     assert served["support/trends"] / total == pytest.approx(1 / 3, abs=0.08)
 
 
 # ---- budgets ----------------------------------------------------------------------------------------
-def test_surplus_of_an_idle_team_is_lent_and_is_back_when_it_comes() -> None:
+def test_surplus_of_idle_team_is_lent_until_it_is_active() -> None:
     text = """
 default = "a"
 [[team]]
@@ -81,34 +84,35 @@
 """
     scheduler = team_scheduler(text, cores=8.0)
     number = 0
-    begun: Counter[str] = Counter()
+    admission_counts: Counter[str] = Counter()
     running: list[tuple[float, int]] = []
 
-    def begin(now: float, decisions: list[TeamDecision]) -> None:
+    def start_admitted(now: float, decisions: list[TeamDecision]) -> None:
         for admitted_number in admitted(decisions):
             running.append((now + EXECUTION_S, admitted_number))
-            begun[scheduler._requests[admitted_number].queue.settings.name] += 1
+            admission_counts[scheduler._requests[admitted_number].queue.settings.name] += 1
 
-    for step in range(600):  # a minute; b comes for the second half
+    for step in range(600):  # 60 s in steps of 0.1 s; team b sends requests from 30 s on
         now = step / 10
         for team in ("a", "b") if now >= 30 else ("a",):
             for _ in range(2):
                 number += 1
-                begin(now, enqueue(scheduler, now, number, team, deadline=now + 3.0))
+                start_admitted(now, enqueue(scheduler, now, number, team, deadline=now + 3.0))
         for ends_at, ended in list(running):
             if ends_at <= now:
                 running.remove((ends_at, ended))
-                begin(now, scheduler.request_ended(now, ended, EXECUTION_S))
-        begin(now, scheduler.tick(now))
+                start_admitted(now, scheduler.request_ended(now, ended, EXECUTION_S))
+        start_admitted(now, scheduler.tick(now))
         if step == 299:
-            alone = begun["a"]
-    # Alone, a has 4 a second of its own and 4 of b's; then each its own, and b never less.
-    assert alone == pytest.approx(30 * 8, rel=0.06)
-    assert begun["b"] == pytest.approx(30 * 4 + 4, rel=0.06)
-    assert begun["a"] - alone == pytest.approx(30 * 4, rel=0.12)
+            admitted_alone = admission_counts["a"]
+    # While b is idle, a gets 4 thread-seconds per second of its own budget and 4 of b's. Afterwards each team
+    # gets only its own budget, and b starts with a full bucket.
+    assert admitted_alone == pytest.approx(30 * 8, rel=0.06)
+    assert admission_counts["b"] == pytest.approx(30 * 4 + 4, rel=0.06)
+    assert admission_counts["a"] - admitted_alone == pytest.approx(30 * 4, rel=0.12)
 
 
-def test_request_larger_than_the_budget_runs_once_the_bucket_is_full() -> None:
+def test_request_larger_than_burst_starts_when_bucket_is_full() -> None:
     text = """
 default = "a"
 [[team]]
@@ -118,7 +122,7 @@
 borrow = []
 longest_wait_s = 99.0
 """
-    scheduler = team_scheduler(text, cores=100.0, known_s=5.0)  # a report costs 20
+    scheduler = team_scheduler(text, cores=100.0, known_s=5.0)  # a report costs 20 thread-seconds
     assert admitted(enqueue(scheduler, 0.0, 1, "a", REPORT)) == [1]
     assert not enqueue(scheduler, 0.0, 2, "a")
     now = 0.0
@@ -126,15 +130,15 @@
     while second_admitted_at is None and now < 60:
         now = scheduler.next_tick_at()
         second_admitted_at = now if 2 in admitted(scheduler.tick(now)) else None
-    # 2 in the bucket, 20 taken, and 2 wanted: 20 s
+    # The bucket falls from 2 to -18 thread-seconds and has to reach 2 again at a rate of 1 per second.
     assert second_admitted_at == pytest.approx(20.0, abs=0.2)
 
 
 # ---- waits ------------------------------------------------------------------------------------------
-def test_request_that_can_not_be_served_in_time_is_rejected_on_arrival_with_retry_after() -> None:
+def test_request_that_would_start_too_late_is_rejected_with_retry_after() -> None:
     scheduler = team_scheduler(cores=1.0)
     assert admitted(enqueue(scheduler, 0.0, 1, "others", deadline=5.0)) == [1]
-    # One in ten needs 1 s.
+    # The 10th percentile of the execution time is 1 s, which is longer than the time until the deadline.
     assert rejected(enqueue(scheduler, 0.0, 2, "others", deadline=0.5)) == {2: "late"}
     for number in range(3, 9):
         enqueue(scheduler, 0.0, number, "others", deadline=4.0)
@@ -146,12 +150,12 @@
     assert rejected(scheduler.tick(3.1)) == dict.fromkeys((3, 5, 6, 7, 8), "waited")
 
 
-def test_deadline_and_dispatch_in_one_instant_give_one_decision() -> None:
+def test_deadline_and_dispatch_at_the_same_time_give_one_decision() -> None:
     scheduler = team_scheduler(cores=1.0)
     enqueue(scheduler, 0.0, 1, "others", deadline=9.0)
     enqueue(scheduler, 0.0, 2, "others", deadline=3.0)
     latest_start = scheduler._requests[2].latest_start
-    # A thread is free in the very moment in which 2 is too late.
+    # A thread becomes free exactly at the latest start time of request 2.
     decisions = scheduler.request_ended(latest_start, 1, EXECUTION_S)
     assert rejected(decisions) == {2: "waited"}
     assert not admitted(decisions)
@@ -160,7 +164,7 @@
 
 
 # ---- displacement -----------------------------------------------------------------------------------
-def test_least_urgent_request_is_displaced_but_never_by_a_less_urgent_one() -> None:
+def test_only_a_more_urgent_request_displaces_the_least_urgent_one() -> None:
     text = TEAMS_FILE.replace("weight = 3.0", "weight = 3.0\nqueue_requests = 2")
     scheduler = team_scheduler(text, cores=1.0, known_s=0.1)
     enqueue(scheduler, 0.0, 1, "customers/acme")
@@ -173,7 +177,7 @@
     assert rejected(decisions) == {6: "full"}
 
 
-def test_past_the_bound_of_all_teams_the_one_with_most_queued_for_its_weight_makes_room() -> None:
+def test_global_bound_displaces_from_team_with_highest_cost_per_weight() -> None:
     scheduler = team_scheduler("queue_requests = 5\n" + TEAMS_FILE, cores=1.0, known_s=0.1)
     enqueue(scheduler, 0.0, 1, "others")
     for number in range(2, 7):
@@ -183,7 +187,7 @@
     assert 9 not in rejected(decisions)
 
 
-def test_names_that_clients_invent_add_no_teams_and_no_state() -> None:
+def test_unknown_client_names_create_no_teams_and_bounded_state() -> None:
     scheduler = team_scheduler()
     for number in range(100_000):
         headers = [(b"X-Customer", b"c%d" % number)]
@@ -200,14 +204,14 @@
     assert len(scheduler._start_deadlines) < 2000
 
 
-# ---- other settings, limits -------------------------------------------------------------------------
-def test_reload_keeps_queued_requests_and_moves_those_whose_team_is_gone() -> None:
+# ---- reload and limits ------------------------------------------------------------------------------
+def test_reload_moves_queued_requests_of_removed_teams_to_default_team() -> None:
     scheduler = team_scheduler(cores=1.0)
     enqueue(scheduler, 0.0, 1, "customers/acme")
     for number in range(2, 6):
         enqueue(scheduler, 0.0, number, "customers/acme")
-    fewer = 'default = "others"\n[[team]]\nname = "others"\nqueue_requests = 3\n'
-    decisions = scheduler.replace_settings(0.5, teams_settings(fewer))
+    single_team = 'default = "others"\n[[team]]\nname = "others"\nqueue_requests = 3\n'
+    decisions = scheduler.replace_settings(0.5, teams_settings(single_team))
     assert list(rejected(decisions)) == [5]
     assert scheduler.queued_count == 3
     assert {request.queue.settings.name for request in scheduler._requests.values()} == {"others"}
@@ -221,7 +225,7 @@
     assert scheduler.explain(now, 4) is not None
 
 
-def test_concurrency_limit_holds_and_its_end_frees_siblings() -> None:
+def test_concurrency_limit_blocks_sibling_teams_until_a_request_ends() -> None:
     text = TEAMS_FILE + '\n[[team]]\nname = "customers"\nconcurrency = 2\n[[team]]\nname = "customers/bolt"\n'
     scheduler = team_scheduler(text, cores=100.0)
     for number, team in enumerate(["acme", "bolt", "acme", "bolt", "bolt"], 1):
@@ -236,7 +240,7 @@
     assert scheduler.threads_in_use == 2
 
 
-def test_without_engines_all_requests_wait_even_if_the_clock_stands_still() -> None:
+def test_requests_wait_while_there_are_no_engines() -> None:
     scheduler = team_scheduler(cores=0.0)
     for number in range(5):
         assert not enqueue(scheduler, 0.0, number, "others")
--- a/tests/teams/test_scheduler_invariants.py
+++ b/tests/teams/test_scheduler_invariants.py
@@ -1,4 +1,4 @@
-"""Any order of events: one decision for each request, budgets kept, waits bounded, sums right."""
+"""Stateful property test of the team scheduler: its invariants must hold after any sequence of events."""
 
 from __future__ import annotations
 
@@ -45,7 +45,13 @@
 
 @dataclass(frozen=True)
 class Running:
-    """An admitted request: its cost as charged, and the level that lent, or 0."""
+    """An admitted request.
+
+    Attributes:
+        team: Path of the request's team.
+        cost: Charged cost in thread-seconds.
+        lending_level: Index of the budget level that lent; 0 if none did.
+    """
 
     team: str
     cost: float
@@ -54,7 +60,14 @@
 
 @dataclass(frozen=True)
 class Charge:
-    """A charge, or below 0 what was given back; with the level that lent, or 0."""
+    """A charge or refund.
+
+    Attributes:
+        at: Time of the charge in seconds.
+        team: Path of the request's team.
+        cost: Charged cost in thread-seconds; below 0 for a refund.
+        lending_level: Index of the budget level that lent; 0 if none did.
+    """
 
     at: float
     team: str
@@ -64,12 +77,19 @@
 
 @dataclass(frozen=True)
 class Budget:
-    """A budget over some teams; loans from `passed_by_level` up do not count against it."""
+    """A budget shared by some teams.
+
+    Attributes:
+        teams: Paths of the teams.
+        rate: Budget in thread-seconds per second.
+        burst: Most unused budget in thread-seconds.
+        exempt_from_level: Lowest lending level whose loans are not charged to this budget.
+    """
 
     teams: tuple[str, ...]
     rate: float
     burst: float
-    passed_by_level: int
+    exempt_from_level: int
 
 
 BUDGETS = (
@@ -82,18 +102,18 @@
 
 class SchedulerMachine(RuleBasedStateMachine):
     @initialize()
-    def begin(self) -> None:
+    def create_scheduler(self) -> None:
         self.scheduler = team_scheduler(TREE, cores=40.0)
         self.now = 0.0
         self.count = 0
-        self.queued: dict[int, str] = {}  # the team of requests without a decision
+        self.queued: dict[int, str] = {}  # the team of each request without a decision
         self.arrived_at: dict[int, float] = {}
         self.running: dict[int, Running] = {}
         self.charges: list[Charge] = []
 
     def apply(self, decisions: list[TeamDecision]) -> None:
         for decision in decisions:
-            team = self.queued.pop(decision.number)  # a second decision on a request would raise here
+            team = self.queued.pop(decision.number)  # raises a KeyError on a second decision
             max_wait_s = self.scheduler.queues[team].settings.max_wait_s
             assert self.now - self.arrived_at[decision.number] <= max_wait_s + REFILL_INTERVAL_S
             if isinstance(decision, AdmitRequest):
@@ -109,10 +129,10 @@
         team=st.sampled_from(["a/x", "a/y", "b/z", "c", "none"]),
         class_index=st.integers(0, 2),
         time_left=st.floats(0, 20),
-        how_many=st.integers(1, 6),
+        request_count=st.integers(1, 6),
     )
-    def enqueue(self, team: str, class_index: int, time_left: float, how_many: int) -> None:
-        for _ in range(how_many):
+    def enqueue(self, team: str, class_index: int, time_left: float, request_count: int) -> None:
+        for _ in range(request_count):
             self.count += 1
             self.queued[self.count] = team if team != "none" else "c"
             self.arrived_at[self.count] = self.now
@@ -127,10 +147,10 @@
             return
         number = data.draw(st.sampled_from(sorted(self.running)))
         ended = self.running.pop(number)
-        # Never more than estimated, so that the budgets' bound needs no allowance for that.
+        # A request never takes longer than estimated, so the budget bound needs no allowance for that.
         seconds = share * ended.cost / self.scheduler._requests[number].threads if ran else None
-        given_back = (1 - share) * ended.cost if ran else ended.cost
-        self.charges.append(Charge(self.now, ended.team, -given_back, ended.lending_level))
+        refund = (1 - share) * ended.cost if ran else ended.cost
+        self.charges.append(Charge(self.now, ended.team, -refund, ended.lending_level))
         self.apply(self.scheduler.request_ended(self.now, number, seconds))
 
     @rule(data=st.data())
@@ -158,7 +178,7 @@
         self.apply(self.scheduler.set_capacity(self.now, cores))
 
     @invariant()
-    def sums_are_right(self) -> None:
+    def totals_match_the_queues(self) -> None:
         if not hasattr(self, "scheduler"):
             return
         scheduler = self.scheduler
@@ -175,17 +195,17 @@
             assert all(level.pool.total >= -1e-6 for level in queue.budget.levels)
 
     @invariant()
-    def budgets_are_kept(self) -> None:
+    def budgets_are_not_exceeded(self) -> None:
         if not hasattr(self, "scheduler"):
             return
         for budget in BUDGETS:
             charges = [
                 charge
                 for charge in self.charges
-                if charge.team in budget.teams and charge.lending_level < budget.passed_by_level
+                if charge.team in budget.teams and charge.lending_level < budget.exempt_from_level
             ]
-            for n, first in enumerate(charges):
-                costs = [charge.cost for charge in charges[n:]]
+            for index, first in enumerate(charges):
+                costs = [charge.cost for charge in charges[index:]]
                 allowed = budget.rate * (self.now - first.at) + budget.burst + max(costs)
                 assert sum(costs) <= allowed + 1e-6
 
