--- a/lilacfront/teams/scheduler.py
+++ b/lilacfront/teams/scheduler.py
@@ -1,17 +1,17 @@
 """Decides which queued request is admitted to the router next, and which requests are rejected.
 
 Events are methods that take the current time in seconds on the caller's clock and return decisions:
-`AdmitRequest` and `RejectRequest`. Each enqueued request gets exactly one decision, unless it is removed first. The scheduler
-guarantees (`docs/design/teams.md`):
+`AdmitRequest` and `RejectRequest`. Each enqueued request gets exactly one decision, unless it is removed
+first. The scheduler guarantees (`docs/design/teams.md`):
 
 - A request waits no longer than its team's `max_wait_s`. It also doesn't wait past the time from which fewer
   than one in ten requests of its class could finish by the deadline.
 - In any period of T seconds, a team with a budget starts work of at most rate * T + burst plus one request,
-  not counting borrowed budget. Only the surplus of other teams can be borrowed.
+  not counting borrowed budget. A team can borrow the surplus of other teams and no more.
 - Within a team, a request is overtaken only by requests that arrive later by no more than the difference
   between the patience of the two classes.
 - Each team's queue, and all queues together, are bounded in requests and bytes. If a bound is reached, the
-  least urgent request is displaced and rejected immediately.
+  least urgent request, which may be the new one, is rejected immediately.
 """
 
 from __future__ import annotations
--- a/tests/teams/test_settings_file.py
+++ b/tests/teams/test_settings_file.py
@@ -47,7 +47,7 @@
     assert str(caught.value).startswith(message), caught.value
 
 
-def test_error_has_the_key_as_attribute() -> None:
+def test_error_is_a_settings_error_with_the_key() -> None:
     with pytest.raises(SettingsError) as caught:
         parse_teams(TEAMS_FILE.replace("weight = 3.0", "weight = 0").encode(), CLASSES)
     assert caught.value.key == "team[1].weight"
