--- a/lilacfront/core/action_executor.py
+++ b/lilacfront/core/action_executor.py
@@ -28,14 +28,14 @@
 
 log = Log(__name__)
 
-# A request that the decisions have not ended so long after its deadline is failed without them.
+# The dispatcher fails a request itself when the router has sent no final answer this long after its deadline.
 DEADLINE_GRACE_S = 0.005
 
 RequestAction = SetRequestTerms | Forward | Reject | Fail | CancelAttempt
 
 
 class ActionExecutor:
-    """Drives one gateway's router.
+    """Passes events to one gateway's router and executes the actions that it returns.
 
     Attributes:
         peer_transport: Sends the router's messages to other gateways; None where gossip is off.
@@ -63,11 +63,11 @@
 
     @property
     def now_us(self) -> int:
-        """The loop's clock in microseconds, as the router counts."""
+        """The loop's clock in whole microseconds, the time unit of the router."""
         return int(self._loop.now * 1e6)
 
     def handle(self, event: Event) -> None:
-        """Pass an event to the router and carry out its actions."""
+        """Pass an event to the router and execute the actions that it returns."""
         for action in self._router.handle(self.now_us, event):
             self._execute(action)
 
@@ -78,21 +78,21 @@
         time_left_us = max(0, int((request.deadline - self._loop.now) * 1e6))
         self.handle(RequestReceived(in_flight.number, request.class_index, time_left_us, request.table_group))
 
-    def decide(self, in_flight: InFlightRequest, decision: RoutingDecision) -> None:
-        """Leave a decision for the request's task; the first final answer stays the only one."""
+    def deliver_decision(self, in_flight: InFlightRequest, decision: RoutingDecision) -> None:
+        """Store a decision and wake the request's task; decisions after a final answer are ignored."""
         if isinstance(in_flight.decision, FinalAnswer):
             return
         replaced = in_flight.decision
         in_flight.decision = decision
         if replaced is not None:
-            # The task has not begun this attempt and never will, but the router waits for its end.
+            # The task won't begin the replaced attempt, but the router expects an end event for each attempt.
             number, engine = replaced.attempt, replaced.engine.number
             self.handle(AttemptEnded(in_flight.number, number, engine, AttemptResult.NEVER_SENT, 0, True))
         if in_flight.is_waiting:
             in_flight.task.wake(None)
 
     def is_load(self, in_flight: InFlightRequest) -> bool:
-        """Whether the request changes data and can't be repeated."""
+        """Whether the request belongs to a class that is not idempotent."""
         request_class = self._settings.classes[in_flight.request.class_index]
         return request_class.idempotency is Idempotency.NOT_IDEMPOTENT
 
@@ -119,10 +119,10 @@
             case Forward():
                 self._forward(in_flight, action)
             case Reject():
-                self.decide(in_flight, Rejected(self._retry_after_ms(in_flight, action)))
+                self.deliver_decision(in_flight, Rejected(self._retry_after_ms(in_flight, action)))
             case Fail():
                 is_late = self._loop.now >= in_flight.request.deadline - DEADLINE_GRACE_S
-                self.decide(in_flight, Failed(is_late, in_flight.error_detail))
+                self.deliver_decision(in_flight, Failed(is_late, in_flight.error_detail))
             case CancelAttempt():
                 in_flight.task.interrupt()
 
@@ -132,7 +132,7 @@
         if self.admission_policy is not None and self.is_load(in_flight):
             self.admission_policy.load_forwarded(in_flight.request)
         engine = self._engines[action.engine]
-        self.decide(in_flight, Assignment(engine, attempt, in_flight.priority, deadline))
+        self.deliver_decision(in_flight, Assignment(engine, attempt, in_flight.priority, deadline))
 
     def _retry_after_ms(self, in_flight: InFlightRequest, action: Reject) -> int:
         retry_after_ms = action.retry_after_us // 1000
--- a/lilacfront/core/attempt_reporter.py
+++ b/lilacfront/core/attempt_reporter.py
@@ -12,14 +12,14 @@
 
 
 class AttemptReporter:
-    """Turns what happens to attempts into events of the router."""
+    """Converts progress and outcomes of attempts into router events."""
 
     def __init__(self, loop: Loop, executor: ActionExecutor) -> None:
         self._loop = loop
         self._executor = executor
 
-    def notified(self, in_flight: InFlightRequest, notification: Notification) -> None:
-        """The engine reports progress; ignored where no attempt is under way."""
+    def report_notification(self, in_flight: InFlightRequest, notification: Notification) -> None:
+        """Report progress from the engine; ignored unless an attempt is under way."""
         assignment = in_flight.assignment
         if assignment is not None and in_flight.attempt_under_way:
             engine = assignment.engine.number
@@ -29,18 +29,18 @@
                 )
             )
 
-    def response_started(self, in_flight: InFlightRequest) -> None:
-        """A part of the answer has gone to the client; ignored where no attempt is under way."""
+    def report_response_started(self, in_flight: InFlightRequest) -> None:
+        """Report the first response part sent to the client; ignored unless an attempt is under way."""
         assignment = in_flight.assignment
         if assignment is not None and in_flight.attempt_under_way:
             self._executor.handle(
                 ResponseStarted(in_flight.number, assignment.attempt, assignment.engine.number)
             )
 
-    def ended(self, in_flight: InFlightRequest, outcome: AttemptOutcome, has_started: bool) -> None:
-        """The attempt is over; decides the request where that leaves nothing to retry.
+    def report_end(self, in_flight: InFlightRequest, outcome: AttemptOutcome, has_started: bool) -> None:
+        """Report the end of an attempt, and set the final answer if the request can't be retried.
 
-        Once a part of the answer has gone to the client (`has_started`), a broken attempt ends the request.
+        A failed attempt ends the request once a part of the response was sent to the client (`has_started`).
         """
         assignment = in_flight.assignment
         assert assignment is not None
--- a/lilacfront/core/attempt_results.py
+++ b/lilacfront/core/attempt_results.py
@@ -1,11 +1,11 @@
-"""Maps the outcome of an attempt to the result that the decisions are told."""
+"""Maps the outcome of an attempt to the result that is reported to the router."""
 
 from __future__ import annotations
 
 from lilacfront.core.model import AttemptEnding, AttemptOutcome
 from lilacfront.decisions.events import AttemptResult
 
-_RESULTS_OF_SENT = {
+_RESULTS_IF_MAY_HAVE_RUN = {
     AttemptEnding.COMPLETED: AttemptResult.OK,
     AttemptEnding.ERROR: AttemptResult.ERROR,
     AttemptEnding.CONNECTION_LOST: AttemptResult.RESET,
@@ -15,12 +15,12 @@
 
 
 def attempt_result(outcome: AttemptOutcome) -> AttemptResult:
-    """Returns the result of an attempt; one that may have run is never reported as never run."""
+    """Return the router's result for an outcome; a result means "not run" only if that is proven."""
     if outcome.ending is AttemptEnding.REJECTED:
         return AttemptResult.REJECTED
     if not outcome.stage.never_ran:
-        return _RESULTS_OF_SENT.get(outcome.ending, AttemptResult.RESET)
+        return _RESULTS_IF_MAY_HAVE_RUN.get(outcome.ending, AttemptResult.RESET)
     if outcome.ending is AttemptEnding.CONNECT_FAILED:
         return AttemptResult.CONNECT_FAILED
-    # A connection that ended before anything was written on it is no fault of the engine.
+    # A connection that closed before any byte was written doesn't count as a fault of the engine.
     return AttemptResult.NEVER_SENT
--- a/lilacfront/core/dispatcher.py
+++ b/lilacfront/core/dispatcher.py
@@ -1,8 +1,8 @@
-"""Blocking interface to the decisions: a request's task asks for the next decision and reports attempts.
+"""Blocking interface between the tasks that serve requests and the router.
 
-A request's own task calls `next_decision`, which returns an engine or a final answer; it makes the attempt,
-calls `attempt_ended` with the outcome, and so on until the answer is final. When the decisions cancel an
-attempt, the task is interrupted wherever it waits.
+The task of a request calls `next_decision`, which blocks and returns either an engine or a final answer. For
+an engine, the task makes the attempt, reports its outcome with `attempt_ended` and calls `next_decision`
+again. When the router cancels an attempt, the task is interrupted wherever it waits.
 """
 
 from __future__ import annotations
@@ -48,10 +48,10 @@
 
 
 class RequestDispatcher:
-    """One gateway's decisions for the tasks of one loop.
+    """Connects the request tasks of one loop to the router of one gateway.
 
     Attributes:
-        router: Decides which engine gets which request.
+        router: Chooses the engine for each attempt.
     """
 
     def __init__(
@@ -62,7 +62,15 @@
         connections: EngineConnections,
         scheduler: TeamScheduler | None = None,
     ) -> None:
-        """`connections` are told of engines that are closed; without `scheduler` there are no teams."""
+        """Build the router and what connects it to the loop.
+
+        Args:
+            loop: Runs the tasks and provides the clock.
+            settings: Settings of the router.
+            seed: Seed of the router's random draws.
+            connections: Its `stop_sending` is called for each engine that is no longer ready.
+            scheduler: Queues requests by team; without it, requests go directly to the router.
+        """
         self.router = RequestRouter(settings, seed)
         self._loop = loop
         self._requests: dict[int, InFlightRequest] = {}
@@ -82,54 +90,54 @@
 
     @property
     def in_flight_count(self) -> int:
-        """How many requests are in flight."""
+        """Number of requests in flight."""
         return len(self._requests)
 
     @property
     def ready_cores(self) -> float:
-        """Cores of all ready engines together."""
+        """Total cores of all ready engines."""
         return self._engines.cores
 
     @property
     def ready_engine_count(self) -> int:
-        """How many engines requests may be sent to."""
+        """Number of engines that requests may be sent to."""
         return len(self._engines)
 
     @property
     def has_teams(self) -> bool:
-        """Whether requests wait in queues of teams."""
+        """Whether requests are queued by team."""
         return self._team_admission is not None
 
-    # ---- connected parts ----------------------------------------------------------------------------
+    # ---- connections to other parts -----------------------------------------------------------------
     def set_peer_transport(self, transport: PeerTransport) -> None:
-        """Send the router's gossip through `transport`; without one it is dropped."""
+        """Send the router's gossip through `transport`; without a transport, gossip is dropped."""
         self._executor.peer_transport = transport
 
     def set_admission_policy(self, policy: AdmissionPolicy) -> None:
-        """Let `policy` restrict admission while the gateway recovers."""
+        """Use `policy` to restrict admission while the gateway recovers."""
         self._executor.admission_policy = policy
 
-    def set_teams(self, settings: TeamsSettings) -> None:
-        """Go by other settings of teams; queued requests stay queued. Only where there are teams."""
+    def replace_team_settings(self, settings: TeamsSettings) -> None:
+        """Replace the team settings; queued requests stay queued. Requires `has_teams`."""
         assert self._team_admission is not None
         self._team_admission.replace_settings(settings)
 
     def update_endpoints(self, update: EndpointList, addresses: Mapping[int, tuple[str, int]]) -> None:
-        """Apply an endpoint list; `addresses` are those at which its engines listen."""
-        closed = self._engines.update(update, addresses)
+        """Apply an endpoint list; `addresses` maps engine numbers to the addresses they listen on."""
+        withdrawn = self._engines.update(update, addresses)
         log.debug("endpoint list received", at=self._loop.now, endpoints=update.endpoints)
         self._executor.handle(update)
-        self._engines.close(closed)
+        self._engines.stop_sending(withdrawn)
         if self._team_admission is not None:
             self._team_admission.set_ready_cores(self._engines.cores)
 
     def receive_peer_message(self, sender: int, data: bytes) -> None:
-        """Pass gossip of another gateway to the router."""
+        """Pass gossip from another gateway to the router."""
         self._executor.handle(PeerMessageReceived(sender, data))
 
-    # ---- a request's life ---------------------------------------------------------------------------
+    # ---- request lifecycle --------------------------------------------------------------------------
     def submit(self, request: Request, task: Task) -> InFlightRequest:
-        """Take a request over from its front end; `next_decision` returns what is decided."""
+        """Register a request from a front end and pass it on; `next_decision` returns the decisions on it."""
         in_flight = InFlightRequest(self, next(self._numbers), request, task)
         self._requests[in_flight.number] = in_flight
         request_log.received(in_flight, self._loop.now)
@@ -145,7 +153,7 @@
         return in_flight
 
     def next_decision(self, in_flight: InFlightRequest) -> RoutingDecision:
-        """Wait for the next decision on a request: an attempt to make, or its final answer."""
+        """Block until the next decision on a request: an attempt to make, or the final answer."""
         decision = self._wait_for_decision(in_flight)
         in_flight.decision = None
         if isinstance(decision, Assignment):
@@ -162,20 +170,21 @@
             if self._loop.wait(in_flight.task, until) is None:
                 continue
             if in_flight.task.interrupted:
-                in_flight.task.settle()  # the interruption was meant for an attempt already over
+                in_flight.task.settle()  # the interruption was for an attempt that has already ended
             elif in_flight.decision is None:
-                # The decisions owe an answer past the deadline: the client still gets one.
+                # The router sent no final answer by the deadline and the grace period; fail the request here.
                 self.cancel(in_flight)
                 in_flight.decision = Failed(is_deadline_exceeded=True, detail=in_flight.error_detail)
         in_flight.is_waiting = False
         return in_flight.decision
 
     def may_begin(self, in_flight: InFlightRequest) -> bool:
-        """Whether an attempt decided earlier may still begin; asked as its first byte would leave.
+        """Whether an assigned attempt may still begin; called right before its first byte is sent.
 
-        Between the decision and the first byte lie a connection that comes up late, or a peer that does not
-        read. Meanwhile the client may have left, the engine may drain, the request's time or its class's
-        window may have run out, or the next window of an engine that warms up may have begun.
+        A slow connect or a peer that does not read can delay the first byte after the decision. Meanwhile the
+        client may have disconnected, the engine may have started to drain, the request's deadline or the
+        deduplication window of its class may have passed, or an engine in slow start may have entered its
+        next window.
         """
         assignment = in_flight.assignment
         if assignment is None or in_flight.decision is not None or in_flight.task.interrupted:
@@ -187,30 +196,30 @@
         return is_ready and self.router.may_begin(self._executor.now_us, in_flight.number)
 
     def attempt_notified(self, in_flight: InFlightRequest, notification: Notification) -> None:
-        """The engine reports progress of an attempt under way."""
-        self._reporter.notified(in_flight, notification)
+        """Report progress of the attempt under way, as received from the engine."""
+        self._reporter.report_notification(in_flight, notification)
 
     def response_started(self, in_flight: InFlightRequest) -> None:
-        """A part of the answer has gone to the client: the attempt can't be cancelled any more."""
-        self._reporter.response_started(in_flight)
+        """Report the first response part sent to the client: the attempt can't be cancelled any more."""
+        self._reporter.report_response_started(in_flight)
 
     def attempt_ended(
         self, in_flight: InFlightRequest, outcome: AttemptOutcome, has_started: bool = False
     ) -> None:
-        """Report how the attempt ended; if that ends the request, `next_decision` returns its answer.
+        """Report how the attempt ended; if the request ends with it, `next_decision` returns the answer.
 
         Args:
             in_flight: The request.
-            outcome: Of its attempt under way.
-            has_started: Whether a part of the answer has gone to the client, so that a retry is too late.
+            outcome: Outcome of the attempt under way.
+            has_started: Whether a part of the response was sent to the client, which rules out a retry.
         """
-        self._reporter.ended(in_flight, outcome, has_started)
+        self._reporter.report_end(in_flight, outcome, has_started)
 
     def cancel(self, in_flight: InFlightRequest) -> None:
-        """The client is gone: nothing is owed any more, and an attempt under way is cancelled."""
+        """End a request whose client has disconnected, and cancel an attempt under way."""
         if in_flight.number not in self._requests:
             return
-        self._executor.decide(in_flight, Cancelled())
+        self._executor.deliver_decision(in_flight, Cancelled())
         if not in_flight.in_team_queue:
             self._executor.handle(ClientDisconnected(in_flight.number))
         elif self._team_admission is not None:
@@ -219,29 +228,29 @@
             in_flight.task.interrupt()
 
     def abandon(self, in_flight: InFlightRequest) -> None:
-        """The request's task has failed: cancel the request, and end an attempt that was under way."""
+        """Clean up after the request's task failed: cancel the request and end an attempt under way."""
         self.cancel(in_flight)
         if in_flight.attempt_under_way:
             self.attempt_ended(in_flight, AttemptOutcome(AttemptEnding.CANCELLED, DeliveryStage.WRITTEN))
         self._remove(in_flight)
 
     def expire(self, in_flight: InFlightRequest) -> None:
-        """End the request as if its deadline had come."""
+        """End the request as if its deadline had passed."""
         if in_flight.number not in self._requests:
             return
         if not in_flight.in_team_queue:
             self._executor.handle(TimerFired(FIRST_DEADLINE_TIMER + in_flight.number))
         elif self._team_admission is not None:
-            self._executor.decide(in_flight, Rejected(0))
+            self._executor.deliver_decision(in_flight, Rejected(0))
             self._team_admission.remove(in_flight)
 
     def expire_all(self) -> None:
-        """End all requests in flight as if their deadlines had come."""
+        """End all requests in flight as if their deadlines had passed."""
         for in_flight in list(self._requests.values()):
             self.expire(in_flight)
 
     def _remove(self, in_flight: InFlightRequest) -> None:
-        """Forget a request that has its final answer and no attempt under way."""
+        """Remove a request that has its final answer and no attempt under way."""
         if self._requests.pop(in_flight.number, None) is None or in_flight.answered_at_admission:
             return
         policy = self._executor.admission_policy
@@ -255,5 +264,5 @@
             self._team_admission.request_ended(in_flight)
 
     def run_timers(self, task: Task) -> None:
-        """Run timers as they come due; the server spawns this for as long as it runs."""
+        """Run timers as they become due; the server runs this in a task of its own."""
         self._timer_runner.run(task)
--- a/lilacfront/core/endpoints.py
+++ b/lilacfront/core/endpoints.py
@@ -10,7 +10,7 @@
 
 
 class ReadyEngines:
-    """Engines in state ready, with their addresses and cores."""
+    """The engines in state READY, with their addresses and core counts."""
 
     def __init__(self, connections: EngineConnections, machine_type_cores: Sequence[float]) -> None:
         self._connections = connections
@@ -19,48 +19,48 @@
         self._cores: dict[int, float] = {}
 
     def __len__(self) -> int:
-        """How many engines are ready."""
+        """Number of ready engines."""
         return len(self._addresses)
 
     def __getitem__(self, number: int) -> EngineAddress:
-        """The address of a ready engine; KeyError for any other."""
+        """Return the address of a ready engine; raise KeyError for any other engine."""
         return self._addresses[number]
 
     @property
     def cores(self) -> float:
-        """Cores of all ready engines together."""
+        """Total cores of all ready engines."""
         return sum(self._cores.values())
 
     def is_ready(self, engine: EngineAddress) -> bool:
-        """Whether this engine is ready, at this very address."""
+        """Whether this engine is ready and still has this address."""
         return self._addresses.get(engine.number) == engine
 
     def update(self, update: EndpointList, addresses: Mapping[int, tuple[str, int]]) -> dict[int, bool]:
-        """Apply an endpoint list; `addresses` has those of its engines.
+        """Apply an endpoint list; `addresses` maps engine numbers to the addresses they listen on.
 
         Returns:
-            The engines that are not ready any more; True for those that are gone rather than draining.
-            The caller closes them once the router knows the list.
+            The engines that are no longer ready, mapped to whether they were removed (True) or are draining
+            (False). The caller passes them to `stop_sending` after the router has received the list.
         """
-        closed: dict[int, bool] = {}
+        withdrawn: dict[int, bool] = {}
         if update.scope is not ListScope.DELTA:
             listed = {entry.engine for entry in update.endpoints}
-            closed.update((number, True) for number in self._addresses if number not in listed)
+            withdrawn.update((number, True) for number in self._addresses if number not in listed)
         for entry in update.endpoints:
             engine = EngineAddress(entry.engine, addresses[entry.engine])
             if entry.state is not EndpointState.READY:
-                closed[entry.engine] = entry.state is EndpointState.REMOVED
+                withdrawn[entry.engine] = entry.state is EndpointState.REMOVED
                 continue
             if self._addresses.get(entry.engine, engine) != engine:
-                self._connections.stop_sending(entry.engine, True)  # the same engine at another address
+                self._connections.stop_sending(entry.engine, True)  # the engine moved to another address
             self._addresses[entry.engine] = engine
             self._cores[entry.engine] = self._machine_type_cores[entry.machine_type]
-        for number in closed:
+        for number in withdrawn:
             self._addresses.pop(number, None)
             self._cores.pop(number, None)
-        return closed
+        return withdrawn
 
-    def close(self, closed: Mapping[int, bool]) -> None:
-        """Stop sending to engines that are not ready any more."""
-        for number, gone in closed.items():
-            self._connections.stop_sending(number, gone)
+    def stop_sending(self, withdrawn: Mapping[int, bool]) -> None:
+        """Stop sending to engines that are no longer ready; see `update`."""
+        for number, is_removed in withdrawn.items():
+            self._connections.stop_sending(number, is_removed)
--- a/lilacfront/core/hooks.py
+++ b/lilacfront/core/hooks.py
@@ -1,4 +1,4 @@
-"""What the dispatcher needs from the parts around it: interfaces that the server connects."""
+"""Interfaces that the dispatcher calls; the server connects the implementations."""
 
 from __future__ import annotations
 
@@ -8,10 +8,13 @@
 
 
 class EngineConnections(Protocol):
-    """The connections to engines; each `Upstream` is one."""
+    """Connections to engines; every `Upstream` implements this."""
 
-    def stop_sending(self, engine: int, gone: bool) -> None:
-        """Take back what has not begun to leave: the engine drains, or with `gone` is off the list."""
+    def stop_sending(self, engine: int, is_removed: bool) -> None:
+        """Withdraw attempts that have not begun to be sent.
+
+        Called when the engine starts to drain, or, with `is_removed`, when it is removed from the list.
+        """
         ...
 
 
@@ -19,25 +22,25 @@
     """Sends datagrams to the other gateways."""
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """Send `data` to one peer, or to every one (None)."""
+        """Send `data` to one peer, or to all peers if `peer` is None."""
         ...
 
 
 class AdmissionPolicy(Protocol):
-    """Restricts what is admitted while a gateway recovers; implemented by the recovery coordinator."""
+    """Restricts admission while a gateway recovers; implemented by the recovery coordinator."""
 
     def admission_answer(self, request: Request) -> FinalAnswer | None:
-        """The final answer of a request that can't be admitted yet, or None to admit it."""
+        """Return the final answer for a request that can't be admitted yet, or None to admit it."""
         ...
 
     def retry_after_ms(self, request: Request, proposed_ms: int) -> int:
-        """The Retry-After of a request that the decisions reject with `proposed_ms`."""
+        """Return the Retry-After for a request that the router rejects with `proposed_ms`."""
         ...
 
     def load_forwarded(self, request: Request) -> None:
-        """A request that is not idempotent is about to be sent to an engine."""
+        """Called before a request that is not idempotent is sent to an engine."""
         ...
 
     def load_answered(self, request: Request) -> None:
-        """A request that was sent, and is not idempotent, has its final answer."""
+        """Called when a forwarded request that is not idempotent has its final answer."""
         ...
--- a/lilacfront/core/in_flight.py
+++ b/lilacfront/core/in_flight.py
@@ -10,43 +10,43 @@
 from lilacfront.sched import Task
 
 
-class AttemptObserver(Protocol):
-    """Answers for an attempt under way; implemented by the dispatcher."""
+class AttemptHandler(Protocol):
+    """Handles the calls that an attempt makes on its `AttemptContext`; implemented by the dispatcher."""
 
     def may_begin(self, in_flight: InFlightRequest) -> bool:
         """Whether the request's attempt may still begin."""
         ...
 
     def attempt_notified(self, in_flight: InFlightRequest, notification: Notification) -> None:
-        """The engine has reported progress of the request's attempt."""
+        """Called when the engine has reported progress of the request's attempt."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """One request in flight; it is the `AttemptContext` of its attempts.
+    """State of one request in flight; the request's attempts use it as their `AttemptContext`.
 
-    Only the request's own task waits for decisions on it.
+    Only the task that serves the request waits for decisions on it.
 
     Attributes:
-        observer: Answers for the attempts.
-        number: Unique in this process.
-        request: What the client asked.
+        attempt_handler: Handles the calls of the request's attempts.
+        number: Request number, unique in this process.
+        request: The request as received from the client.
         task: The task that serves the request.
-        decision: The next decision, until the task takes it.
-        assignment: Of the latest attempt.
-        attempt_under_way: Whether that attempt has not ended.
-        is_waiting: Whether the task waits for a decision.
-        in_team_queue: Whether it waits with its team, so that the router does not know it yet.
-        answered_at_admission: Whether the admission policy answered it, so that nobody else knows it.
-        may_have_run: Whether an attempt that ended may have run.
-        attempt_started_at: When the latest attempt began, on the loop's clock.
-        execution_s: Seconds of all attempts that ended and may have run.
-        priority: The engine's priority for it, where one is set.
-        error_detail: The latest error text of an engine.
+        decision: The next decision; None once the task has picked it up.
+        assignment: Engine and deadline of the latest attempt.
+        attempt_under_way: Whether the latest attempt has not ended yet.
+        is_waiting: Whether the task is blocked until a decision arrives.
+        in_team_queue: Whether the request is in its team's queue and not yet routed.
+        answered_at_admission: Whether the admission policy answered it; it is never queued or routed then.
+        may_have_run: Whether the engine may have run any attempt that has ended.
+        attempt_started_at: Start of the latest attempt, in seconds of the loop's clock.
+        execution_s: Total duration of the ended attempts that may have run, in seconds.
+        priority: Priority sent to the engine; None if no priority is set.
+        error_detail: The latest error text received from an engine.
     """
 
-    observer: AttemptObserver
+    attempt_handler: AttemptHandler
     number: int
     request: Request
     task: Task
@@ -65,31 +65,31 @@
 
     def may_begin(self) -> bool:
         """Whether the attempt may still begin; see `AttemptContext.may_begin`."""
-        return self.observer.may_begin(self)
+        return self.attempt_handler.may_begin(self)
 
-    def notify(self, note: Notification) -> None:
+    def notify(self, notification: Notification) -> None:
         """Report progress of the attempt under way."""
-        self.observer.attempt_notified(self, note)
+        self.attempt_handler.attempt_notified(self, notification)
 
-    def subscribe_priority(self, change: Callable[[int], None]) -> None:
-        """Have `change` called when the priority of the attempt under way changes."""
-        self._on_priority_change = change
+    def subscribe_priority(self, callback: Callable[[int], None]) -> None:
+        """Call `callback` whenever the priority of the attempt under way changes."""
+        self._on_priority_change = callback
 
     def set_priority(self, priority: int) -> None:
-        """Set the priority of further attempts and of the one under way."""
+        """Set the priority of the attempt under way and of later attempts."""
         changed = priority != self.priority
         self.priority = priority
         if changed and self.attempt_under_way and self._on_priority_change is not None:
             self._on_priority_change(priority)
 
     def start_attempt(self, assignment: Assignment, now: float) -> None:
-        """Record that an attempt begins."""
+        """Record the start of an attempt."""
         self.assignment = assignment
         self.attempt_under_way = True
         self.attempt_started_at = now
 
     def end_attempt(self, never_ran: bool, error_detail: bytes, now: float) -> None:
-        """Record that the attempt has ended."""
+        """Record the end of the attempt."""
         self.attempt_under_way = False
         self.error_detail = error_detail or self.error_detail
         if not never_ran:
--- a/lilacfront/core/lifecycle.py
+++ b/lilacfront/core/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: decisions and attempts in turn, never two attempts at once, one final answer."""
+"""The lifecycle of a request: one attempt at a time, each decided by the router, until the final answer."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 def run_request(
     dispatcher: RequestDispatcher, in_flight: InFlightRequest, upstream: Upstream, sink: ResponseSink
 ) -> FinalAnswer:
-    """Make the attempts that the decisions ask for; called by the front ends in the request's own task.
+    """Make attempts until the router gives the final answer; called by a frontend in the request's task.
 
     Args:
-        dispatcher: Decides on the request, which was submitted to it.
-        in_flight: The request.
-        upstream: Carries attempts to engines.
-        sink: Takes the answer of the attempt that succeeds.
+        dispatcher: The dispatcher that the request was submitted to.
+        in_flight: The submitted request.
+        upstream: Sends attempts to engines.
+        sink: Receives the response of each attempt.
 
     Returns:
-        The final answer; with `Completed` the sink has the whole result.
+        The final answer; if it is `Completed`, the sink has received the whole result.
     """
     while True:
         decision = dispatcher.next_decision(in_flight)
         if not isinstance(decision, Assignment):
             return decision
-        if in_flight.task.interrupted:  # cancelled before it could begin
+        if in_flight.task.interrupted:  # the attempt was cancelled before it began
             outcome = AttemptOutcome(AttemptEnding.CANCELLED, DeliveryStage.CONNECTED)
         else:
             sink.clear()
--- a/lilacfront/core/model.py
+++ b/lilacfront/core/model.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and outcomes. Failures are values that say how far an attempt came."""
+"""Requests, attempts and outcomes. Failures are returned as values that state how far an attempt got."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class DeliveryStage(IntEnum):
-    """How far an attempt came before it ended."""
+    """How far an attempt got before it ended."""
 
     NOT_CONNECTED = 0
-    CONNECTED = 1  # nothing of the request is written
+    CONNECTED = 1  # connected, but no byte of the request is written
     PARTLY_WRITTEN = 2
-    WRITTEN = 3  # the engine may have the whole request
-    RESPONDING = 4  # a part of the response has been received
+    WRITTEN = 3  # the whole request is written, and the engine may have received it
+    RESPONDING = 4  # a part of the response was received
 
     @property
     def never_ran(self) -> bool:
-        """Whether the engine can't have run any of it.
+        """Whether the engine can't have run any part of the request.
 
-        A partly written request may have run: a streamed insert begins before its last byte.
+        A partly written request may have run: engines start a streamed insert before its last byte.
         """
         return self <= DeliveryStage.CONNECTED
 
@@ -33,13 +33,13 @@
     """How an attempt ended; the values appear in the log."""
 
     COMPLETED = "completed"
-    REJECTED = "rejected"  # the engine says that it never ran
-    ERROR = "error"  # the engine says that it failed; it may have run
+    REJECTED = "rejected"  # the engine reports that it did not run the request
+    ERROR = "error"  # the engine reports a failure; the request may have run
     CONNECT_FAILED = "connect failed"
-    CONNECTION_LOST = "connection lost"  # or what was received can't be parsed
+    CONNECTION_LOST = "connection lost"  # also used if the response can't be parsed
     TIMED_OUT = "timed out"
-    CANCELLED = "cancelled"  # by the decisions or by the client
-    NOT_SENT = "not sent"  # the engine left the list, or time was up, before the first byte
+    CANCELLED = "cancelled"  # by the router or by the client
+    NOT_SENT = "not sent"  # the engine was withdrawn or the deadline passed before the first byte
 
 
 @dataclass(slots=True, frozen=True)
@@ -47,10 +47,10 @@
     """The end of one attempt.
 
     Attributes:
-        ending: How it ended.
-        stage: How far it came.
-        load_report: What the engine reported of its load with the response.
-        detail: The engine's error text, for the client.
+        ending: How the attempt ended.
+        stage: How far the attempt got.
+        load_report: Load that the engine reported with the response.
+        detail: Error text of the engine, passed on to the client.
     """
 
     ending: AttemptEnding
@@ -60,7 +60,7 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether it is proved that the engine ran nothing of it."""
+        """Whether the engine provably ran no part of the request."""
         return self.ending is AttemptEnding.REJECTED or self.stage.never_ran
 
 
@@ -70,20 +70,20 @@
 
 @dataclass(slots=True)
 class Request:
-    """One client's request.
+    """A request of one client.
 
     Attributes:
-        call_id: The client's own id of the request.
-        class_index: Its request class, by place in the settings.
-        deadline: On the loop's clock, in seconds.
-        body: Forwarded as received.
-        table_group: The group of tables it reads; 0 where none is known.
-        protocol_context: What the front end leaves for upstreams of its own protocol.
-        user: The client's user name; decides the team only.
-        headers: The request's headers; decide the team only.
-        statement: The statement, where the body is not just that.
-        idempotency_key: By which engines recognise repeats; forwarded as received.
-        is_client_connected: Whether the client is still connected, as its front end sees it now.
+        call_id: Identifier that the client gave the request.
+        class_index: Index of the request class in the settings.
+        deadline: Deadline in seconds of the loop's clock.
+        body: Request body, forwarded as received.
+        table_group: Number of the table group that the request reads; 0 if unknown.
+        protocol_context: Data that the frontend passes to an upstream of the same protocol.
+        user: User name of the client; used only to choose the team.
+        headers: Headers of the request; used only to choose the team.
+        statement: The statement, if the body contains more than the statement.
+        idempotency_key: Key by which engines recognise a repeated request; forwarded as received.
+        is_client_connected: Returns whether the client is still connected.
     """
 
     call_id: bytes
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineAddress:
-    """An engine and where it listens. The same address under another number is another engine."""
+    """Number and address of an engine. The same address under another number is a different engine."""
 
     number: int
     address: tuple[str, int]
@@ -109,7 +109,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Notification:
-    """Progress that an engine reports of an attempt under way; what `value` means depends on `kind`."""
+    """Progress that an engine reports for an attempt under way; the meaning of `value` depends on `kind`."""
 
     kind: NotificationKind
     value: float
@@ -117,13 +117,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Assignment:
-    """Send the request to this engine now.
+    """Decision to send the request to this engine now.
 
     Attributes:
-        engine: Where to send it.
-        attempt: Number of the attempt, from 0.
-        priority: The engine's priority for it, where one is set.
-        deadline: When to give the attempt up, in seconds of the loop's clock.
+        engine: The engine to send the request to.
+        attempt: Number of the attempt, starting at 0.
+        priority: Priority to send to the engine; None if no priority is set.
+        deadline: Time at which to abort the attempt, in seconds of the loop's clock.
     """
 
     engine: EngineAddress
@@ -134,11 +134,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Rejected:
-    """Final: the request never ran, and the client may retry.
+    """Final answer: the request did not run, and the client may retry.
 
     Attributes:
-        retry_after_ms: When to retry; 0 where the client may choose.
-        wait_range_ms: What the wait of a new request lies between nine times in ten, where that is known.
+        retry_after_ms: Delay before a retry, in milliseconds; 0 leaves the delay to the client.
+        wait_range_ms: Range of the queueing time of nine in ten new requests, in ms; None if unknown.
     """
 
     retry_after_ms: int
@@ -147,7 +147,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Failed:
-    """Final: the request failed, and may have run."""
+    """Final answer: the request failed, and may have run."""
 
     is_deadline_exceeded: bool = False
     detail: bytes = b""
@@ -155,12 +155,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Completed:
-    """Final: the response sink has the whole result."""
+    """Final answer: the response sink has received the whole result."""
 
 
 @dataclass(slots=True, frozen=True)
 class Cancelled:
-    """Final: the client is gone and gets no answer."""
+    """Final answer: the client has disconnected, so no answer is sent."""
 
 
 FinalAnswer = Rejected | Failed | Completed | Cancelled
@@ -168,61 +168,69 @@
 
 
 class ResponseSink(Protocol):
-    """Receives the response of an attempt, in order, as it arrives."""
+    """Receives the response of an attempt in order, part by part."""
 
     @property
     def has_started(self) -> bool:
-        """Whether a part has gone to the client: from then on no other attempt can take over."""
+        """Whether a part of the response was sent to the client, which rules out another attempt."""
         ...
 
     def clear(self) -> None:
-        """Another attempt begins: drop what is buffered of the last one."""
+        """Discard what is buffered from the previous attempt; called before each attempt."""
         ...
 
-    def start(self, about: object) -> None:
-        """The head of a response, before its first part, for front ends of the same protocol."""
+    def start(self, head: object) -> None:
+        """Receive the head of a response before its first part; used by frontends of the same protocol."""
         ...
 
     def write(self, data: bytes) -> bool:
-        """Take a part of the result, perhaps waiting for the client; False if it can't go on."""
+        """Accept a part of the result, waiting for a slow client; return False to abort the attempt."""
         ...
 
 
 class Upstream(Protocol):
-    """Carries attempts to engines; failures are in the outcome, nothing is raised.
+    """Sends attempts to engines; failures are reported in the outcome, never raised.
 
     Attributes:
-        max_connections: Connections open at once, at most.
+        max_connections: Maximum number of connections open at once.
     """
 
     max_connections: int
 
     def attempt(
-        self, task: Task, chosen: Assignment, request: Request, sink: ResponseSink, watch: AttemptContext
+        self,
+        task: Task,
+        assignment: Assignment,
+        request: Request,
+        sink: ResponseSink,
+        context: AttemptContext,
     ) -> AttemptOutcome:
-        """Make the attempt; when this returns it is over, and cancelled wherever it may still run."""
+        """Make the attempt and return its outcome.
+
+        An attempt that may still run on the engine is cancelled there before this returns.
+        """
         ...
 
-    def stop_sending(self, engine: int, gone: bool) -> None:
-        """The engine is draining, or `gone`: take back what has not begun to leave."""
+    def stop_sending(self, engine: int, is_removed: bool) -> None:
+        """Withdraw attempts that have not begun to be sent; see `EngineConnections.stop_sending`."""
         ...
 
 
 class AttemptContext(Protocol):
-    """What an attempt under way reports to the decisions, and asks them."""
+    """Interface of an attempt under way to the router."""
 
     def may_begin(self) -> bool:
         """Whether the attempt may still begin.
 
-        To be asked whenever its first byte is about to leave: the answer from before a wait, for a
-        connection or for a peer that reads, is out of date.
+        Must be called right before the first byte is sent. After a wait for a connection, or for a peer that
+        does not read, an earlier answer is out of date.
         """
         ...
 
-    def notify(self, note: Notification) -> None:
-        """Report progress."""
+    def notify(self, notification: Notification) -> None:
+        """Report progress of the attempt."""
         ...
 
-    def subscribe_priority(self, change: Callable[[int], None]) -> None:
-        """Have `change` called when the attempt's priority changes."""
+    def subscribe_priority(self, callback: Callable[[int], None]) -> None:
+        """Call `callback` whenever the priority of the attempt changes."""
         ...
--- a/lilacfront/core/request_log.py
+++ b/lilacfront/core/request_log.py
@@ -1,4 +1,4 @@
-"""Debug log lines of a request's life; `lilacfront lab count` reads them."""
+"""Debug log lines for each step of a request; `lilacfront lab count` reads them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def received(in_flight: InFlightRequest, now: float) -> None:
-    """A front end has submitted a request."""
+    """Log that a frontend has submitted a request."""
     request = in_flight.request
     log.debug(
         "request received",
@@ -25,7 +25,7 @@
 def attempt_ended(
     in_flight: InFlightRequest, assignment: Assignment, outcome: AttemptOutcome, now: float
 ) -> None:
-    """An attempt has ended."""
+    """Log that an attempt has ended."""
     log.debug(
         "attempt ended",
         request=in_flight.number,
@@ -42,7 +42,7 @@
 
 
 def answered(in_flight: InFlightRequest, answer: FinalAnswer, now: float) -> None:
-    """A request has its final answer."""
+    """Log that a request has its final answer."""
     log.debug(
         "request answered",
         request=in_flight.number,
--- a/lilacfront/core/statement_class.py
+++ b/lilacfront/core/statement_class.py
@@ -1,4 +1,4 @@
-"""How a statement of a ClickHouse client gets its request class."""
+"""Assigns request classes to the statements of ClickHouse clients."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassRule:
-    """Gives its class to reads of one user whose statement matches a pattern.
+    """Assigns a class to reads of one user whose statement matches a pattern.
 
     Attributes:
         class_index: The class that a matching statement gets.
-        user: The user that the rule holds for; empty: any user.
-        pattern: Searched for in the statement; None: any statement.
+        user: The user that the rule applies to; empty for any user.
+        pattern: Pattern to search for in the statement; None matches any statement.
     """
 
     class_index: int
@@ -21,7 +21,7 @@
     pattern: re.Pattern[bytes] | None
 
     def matches(self, statement: bytes, user: bytes) -> bool:
-        """Whether a read of `user` gets the class of this rule."""
+        """Whether the rule applies to this read of `user`."""
         if self.user and self.user != user:
             return False
         return self.pattern is None or self.pattern.search(statement) is not None
@@ -29,13 +29,13 @@
 
 @dataclass(slots=True, frozen=True)
 class StatementClassifier:
-    """Chooses the class of a statement, and knows how long each class may take.
+    """Chooses the class of a statement and provides the time limit of each class.
 
     Attributes:
-        read_class: The class of statements that provably only read and that no rule matches.
-        load_class: The class of all other statements.
-        rules: Tried in order on reads; the first that matches gives the class.
-        deadlines_s: By class, seconds from a request's arrival to its deadline.
+        read_class: Class of statements that provably only read and that no rule matches.
+        load_class: Class of statements that don't provably only read.
+        rules: Rules for reads; the first rule that matches sets the class.
+        deadlines_s: Seconds from a request's arrival to its deadline, by class index.
     """
 
     read_class: int
--- a/lilacfront/core/team_admission.py
+++ b/lilacfront/core/team_admission.py
@@ -1,4 +1,4 @@
-"""Connects the team queues to the requests in flight and to the router."""
+"""Connects the team scheduler to the requests in flight and to the router."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         executor: ActionExecutor,
         timers: Timers,
     ) -> None:
-        self.due = math.inf  # when `run_due` has something to do, on the loop's clock
+        self.next_tick_at = math.inf  # when `tick_if_due` is due, in seconds of the loop's clock
         self._loop = loop
         self._scheduler = scheduler
         self._requests = requests
@@ -46,43 +46,43 @@
         )
 
     def remove(self, in_flight: InFlightRequest) -> None:
-        """Take a request that is not routed out of its queue."""
+        """Remove a request that is not yet routed from its queue."""
         self._apply(self._scheduler.remove(self._loop.now, in_flight.number))
 
     def request_ended(self, in_flight: InFlightRequest) -> None:
-        """A request that was routed is over: charge its team for what it ran."""
+        """Charge the team of a routed request that has ended for the time that it ran."""
         execution_s = in_flight.execution_s if in_flight.may_have_run else None
         self._apply(self._scheduler.request_ended(self._loop.now, in_flight.number, execution_s))
 
     def set_ready_cores(self, cores: float) -> None:
-        """Take over the cores of all ready engines."""
+        """Set the total cores of all ready engines."""
         self._apply(self._scheduler.set_capacity(self._loop.now, cores))
 
     def replace_settings(self, settings: TeamsSettings) -> None:
-        """Go by other settings; queued requests stay queued."""
+        """Replace the team settings; queued requests stay queued."""
         self._apply(self._scheduler.replace_settings(self._loop.now, settings))
 
-    def run_due(self) -> None:
-        """Refill budgets and reject what has waited too long, if it is time."""
-        if self.due <= self._loop.now:
+    def tick_if_due(self) -> None:
+        """If due, refill the budgets and reject requests that have waited too long."""
+        if self.next_tick_at <= self._loop.now:
             self._apply(self._scheduler.tick(self._loop.now))
 
     def _apply(self, decisions: list[TeamDecision]) -> None:
         for decision in decisions:
             in_flight = self._requests.get(decision.number)
             if in_flight is None:
-                # What was admitted must also end, or its threads would count as in use for good.
+                # The request no longer exists: report its end, or its threads would stay in use.
                 self._apply(self._scheduler.request_ended(self._loop.now, decision.number, None))
             elif isinstance(decision, AdmitRequest):
                 self._executor.route(in_flight)
             else:
                 self._reject(in_flight, decision)
-        due = self._scheduler.next_due()
-        if due < self.due:
+        next_tick_at = self._scheduler.next_due()
+        if next_tick_at < self.next_tick_at:
             self._timers.wake()
-        self.due = due
+        self.next_tick_at = next_tick_at
 
     def _reject(self, in_flight: InFlightRequest, decision: RejectRequest) -> None:
         retry_after_ms = math.ceil(decision.retry_after_s * 1000)
         wait_range_ms = (int(decision.wait.low * 1000), math.ceil(decision.wait.high * 1000))
-        self._executor.decide(in_flight, Rejected(retry_after_ms, wait_range_ms))
+        self._executor.deliver_decision(in_flight, Rejected(retry_after_ms, wait_range_ms))
--- a/lilacfront/core/timer_runner.py
+++ b/lilacfront/core/timer_runner.py
@@ -1,4 +1,4 @@
-"""Runs the timers of the decisions and of the team queues."""
+"""Runs the timers of the router and of the team scheduler."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class TimerRunner:
-    """Fires timers that are due; its task waits for the next one."""
+    """Fires due timers from a task that waits for the next one."""
 
     def __init__(
         self, timers: Timers, executor: ActionExecutor, team_admission: TeamAdmission | None
@@ -22,23 +22,23 @@
         self._executor = executor
         self._team_admission = team_admission
 
-    def run_due(self) -> float:
-        """Run what is due; returns when the next timer is, on the loop's clock."""
+    def run_due_timers(self) -> float:
+        """Fire all due timers; return the time of the next one, in seconds of the loop's clock."""
         now_us = self._executor.now_us
         while (token := self._timers.pop_due(now_us)) is not None:
             self._executor.handle(TimerFired(token))
         if self._team_admission is None:
             return self._timers.next_due()
-        self._team_admission.run_due()
-        return min(self._team_admission.due, self._timers.next_due())
+        self._team_admission.tick_if_due()
+        return min(self._team_admission.next_tick_at, self._timers.next_due())
 
     def run(self, task: Task) -> None:
-        """Run timers as they come due, until the task is interrupted."""
+        """Fire timers as they become due, until the task is interrupted."""
         self._timers.attach(task)
-        due = 0.0
-        while self._timers.wait(task, due):
+        due_at = 0.0
+        while self._timers.wait(task, due_at):
             try:
-                due = self.run_due()
-            except Exception:  # one timer that fails must not stop the others
+                due_at = self.run_due_timers()
+            except Exception:  # a timer that fails must not stop the others
                 log.exception("timer failed")
-                due = 0.0
+                due_at = 0.0
--- a/lilacfront/core/timers.py
+++ b/lilacfront/core/timers.py
@@ -1,4 +1,4 @@
-"""The decisions' timers, run by one task."""
+"""Timers of the router; one task runs them."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from lilacfront.sched import Interrupted, Loop, Task
 
 MAX_WAIT_S = 1.0
-ROUNDING_S = 1e-6  # timers count in whole microseconds; the loop's clock is finer
+ROUNDING_S = 1e-6  # timers use whole microseconds, the loop's clock is finer
 
 
 class Timers:
-    """Timer tokens by due time, in microseconds of the loop's clock."""
+    """Priority queue of timer tokens, ordered by due time in microseconds of the loop's clock."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
@@ -20,32 +20,32 @@
         self._task: Task | None = None
 
     def set(self, due_us: int, token: int) -> None:
-        """Add a timer; the task that runs timers wakes where it is the earliest."""
+        """Add a timer; if it is now the earliest, wake the task that runs timers."""
         is_first = not self._heap or due_us < self._heap[0][0]
         heapq.heappush(self._heap, (due_us, token))
         if is_first:
             self.wake()
 
     def pop_due(self, now_us: int) -> int | None:
-        """Remove the earliest timer that is due and return its token; None if none is."""
+        """Remove the earliest due timer and return its token; return None if no timer is due."""
         if not self._heap or self._heap[0][0] > now_us:
             return None
         return heapq.heappop(self._heap)[1]
 
     def next_due(self) -> float:
-        """When the earliest timer is due, in seconds of the loop's clock; infinity if there is none."""
+        """Return the due time of the earliest timer, in seconds of the loop's clock; infinity if none."""
         return self._heap[0][0] / 1e6 if self._heap else math.inf
 
     def attach(self, task: Task) -> None:
-        """Have `task` woken when an earlier timer is set."""
+        """Set the task to wake when an earlier timer is set."""
         self._task = task
 
     def wake(self) -> None:
-        """Wake the task that runs timers: something is due earlier than it knows."""
+        """Wake the task that runs timers, because something is due before the time it waits for."""
         if self._task is not None:
             self._task.wake(None)
 
-    def wait(self, task: Task, due: float) -> bool:
-        """Wait until `due` or a wake-up; returns False once the task is interrupted."""
-        until = min(due + ROUNDING_S, self._loop.now + MAX_WAIT_S)
+    def wait(self, task: Task, due_at: float) -> bool:
+        """Wait until `due_at` or a wake-up; return False once the task is interrupted."""
+        until = min(due_at + ROUNDING_S, self._loop.now + MAX_WAIT_S)
         return self._loop.wait(task, until) is not Interrupted
--- a/lilacfront/frontends/clickhouse_result.py
+++ b/lilacfront/frontends/clickhouse_result.py
@@ -34,9 +34,9 @@
         self._head = None
         self._buffer.clear()
 
-    def start(self, about: object) -> None:
+    def start(self, head: object) -> None:
         """Keep the head of an engine's response."""
-        self._head = about if isinstance(about, http1.Head) else None
+        self._head = head if isinstance(head, http1.Head) else None
 
     def write(self, data: bytes) -> bool:
         """Take a part of the result, perhaps waiting for the client; False if that can't go on."""
--- a/lilacfront/frontends/result_buffer.py
+++ b/lilacfront/frontends/result_buffer.py
@@ -21,7 +21,7 @@
         """Forget the result of an attempt that has failed."""
         self.body = b""
 
-    def start(self, about: object) -> None:
+    def start(self, head: object) -> None:
         """The head of a response means nothing here."""
 
     def write(self, data: bytes) -> bool:
--- a/lilacfront/server/config_reload.py
+++ b/lilacfront/server/config_reload.py
@@ -70,6 +70,6 @@
         if config.teams is None or not server.dispatcher.has_teams:
             log.warning("teams can't be turned on or off without a restart")
             return
-        server.dispatcher.set_teams(config.teams)
+        server.dispatcher.replace_team_settings(config.teams)
         server.config = replace(server.config, teams=config.teams)
         log.warning("teams reloaded", teams=len(config.teams.leaves))
--- a/lilacfront/upstream/clickhouse.py
+++ b/lilacfront/upstream/clickhouse.py
@@ -49,56 +49,65 @@
         self._idle: dict[EngineAddress, list[_IdleConnection]] = {}
         self._busy: dict[Stream, EngineAddress] = {}
 
-    def stop_sending(self, engine: int, gone: bool) -> None:
-        """Close the idle connections to an engine; with `gone` those of attempts, too."""
+    def stop_sending(self, engine: int, is_removed: bool) -> None:
+        """Close the idle connections to an engine; with `is_removed` those of attempts, too."""
         for address in [address for address in self._idle if address.number == engine]:
             for connection in self._idle.pop(address):
                 connection.stream.close()
-        if gone:
+        if is_removed:
             # A machine that vanished says nothing; what is open on it will never be answered.
             for stream in [stream for stream, address in self._busy.items() if address.number == engine]:
                 stream.close()
 
     def attempt(
-        self, task: Task, chosen: Assignment, request: Request, sink: ResponseSink, watch: AttemptContext
+        self,
+        task: Task,
+        assignment: Assignment,
+        request: Request,
+        sink: ResponseSink,
+        context: AttemptContext,
     ) -> AttemptOutcome:
         """Make one attempt; see `core.model.Upstream`."""
-        stream = self._take_idle(chosen.engine) or self._connect(task, chosen)
+        stream = self._take_idle(assignment.engine) or self._connect(task, assignment)
         if isinstance(stream, AttemptEnding):
             return AttemptOutcome(stream, DeliveryStage.NOT_CONNECTED)
         # The first byte leaves below, in this same instant.
-        if task.interrupted or not watch.may_begin():
+        if task.interrupted or not context.may_begin():
             stream.close()
             ending = AttemptEnding.CANCELLED if task.interrupted else AttemptEnding.NOT_SENT
             return AttemptOutcome(ending, DeliveryStage.CONNECTED)
-        self._busy[stream] = chosen.engine
+        self._busy[stream] = assignment.engine
         try:
-            attempt = ClickHouseAttempt(stream, request, chosen.engine)
-            outcome = attempt.run(task, chosen.deadline, self._stall_timeout_s, sink)
+            attempt = ClickHouseAttempt(stream, request, assignment.engine)
+            outcome = attempt.run(task, assignment.deadline, self._stall_timeout_s, sink)
         finally:
             del self._busy[stream]
         if outcome.ending is not AttemptEnding.CONNECTION_LOST and attempt.is_connection_reusable:
             assert attempt.head is not None
-            self._keep(stream, chosen.engine, attempt.head)
+            self._keep(stream, assignment.engine, attempt.head)
         else:
             # Closing tells the engine that its response is not wanted, before any other attempt begins.
             stream.close()
         return outcome
 
-    def _connect(self, task: Task, chosen: Assignment) -> Stream | AttemptEnding:
+    def _connect(self, task: Task, assignment: Assignment) -> Stream | AttemptEnding:
         """Return a new connection, or how the attempt ends without one."""
         if len(self._busy) + sum(map(len, self._idle.values())) >= self.max_connections:
             # What this process lacks says nothing against the engine.
             return AttemptEnding.NOT_SENT
         connect_deadline = self.loop.now + self._connect_timeout_s
         connected = Stream.connect(
-            self.loop, task, chosen.engine.address, min(connect_deadline, chosen.deadline), MAX_QUEUED_BYTES
+            self.loop,
+            task,
+            assignment.engine.address,
+            min(connect_deadline, assignment.deadline),
+            MAX_QUEUED_BYTES,
         )
         if isinstance(connected, Stream):
             return connected
         if task.interrupted:
             return AttemptEnding.CANCELLED
-        if connected is Unconnected.NO_DESCRIPTOR or connect_deadline >= chosen.deadline:
+        if connected is Unconnected.NO_DESCRIPTOR or connect_deadline >= assignment.deadline:
             return AttemptEnding.NOT_SENT
         return AttemptEnding.CONNECT_FAILED
 
--- a/lilacfront/upstream/resp.py
+++ b/lilacfront/upstream/resp.py
@@ -55,29 +55,34 @@
         self._pools: dict[int, list[RespConnection]] = {}  # by engine, those that are not closed
         self._connection_count = 0
 
-    def stop_sending(self, engine: int, gone: bool) -> None:
-        """Withdraw what has not begun to leave for an engine; with `gone` close its connections, too."""
+    def stop_sending(self, engine: int, is_removed: bool) -> None:
+        """Withdraw what has not begun to leave for an engine; with `is_removed` close its connections too."""
         for connection in list(self._pools.get(engine, ())):
             connection.withdraw_unsent()
-            if gone:
+            if is_removed:
                 # A machine that vanished says nothing; what is open on it will never be answered.
                 connection.close()
 
     def attempt(
-        self, task: Task, chosen: Assignment, request: Request, sink: ResponseSink, watch: AttemptContext
+        self,
+        task: Task,
+        assignment: Assignment,
+        request: Request,
+        sink: ResponseSink,
+        context: AttemptContext,
     ) -> AttemptOutcome:
         """Make one attempt; see `core.model.Upstream`."""
-        connection = self._acquire(chosen.engine, request.call_id)
+        connection = self._acquire(assignment.engine, request.call_id)
         if connection is None:
             return AttemptOutcome(AttemptEnding.NOT_SENT, DeliveryStage.NOT_CONNECTED)
-        failure = self._wait_until_ready(task, connection, chosen.deadline)
+        failure = self._wait_until_ready(task, connection, assignment.deadline)
         if failure is not None:
             return AttemptOutcome(failure, DeliveryStage.NOT_CONNECTED)
-        time_left_ms = round((chosen.deadline - self.loop.now) * 1000)
+        time_left_ms = round((assignment.deadline - self.loop.now) * 1000)
         if time_left_ms <= 0:
             return AttemptOutcome(AttemptEnding.NOT_SENT, DeliveryStage.CONNECTED)
-        command = self._encode_command(request, chosen.priority, time_left_ms)
-        return RespAttempt(connection, request.call_id, command, watch).run(task, chosen.deadline, sink)
+        command = self._encode_command(request, assignment.priority, time_left_ms)
+        return RespAttempt(connection, request.call_id, command, context).run(task, assignment.deadline, sink)
 
     def _wait_until_ready(
         self, task: Task, connection: RespConnection, deadline: float
--- a/tests/core/test_pinned_dispatcher.py
+++ b/tests/core/test_pinned_dispatcher.py
@@ -87,7 +87,7 @@
     def clear(self) -> None:
         """Nothing is buffered."""
 
-    def start(self, about: object) -> None:
+    def start(self, head: object) -> None:
         """Not used by the engine model."""
 
     def write(self, data: bytes) -> bool:  # noqa: ARG002 - as in ResponseSink
@@ -124,8 +124,8 @@
         self.digest.update(repr((round(self.loop.now, 6), *values)).encode())
 
     # ---- hooks of the dispatcher --------------------------------------------------------------------
-    def stop_sending(self, engine: int, gone: bool) -> None:
-        self.record("stop sending", engine, gone)
+    def stop_sending(self, engine: int, is_removed: bool) -> None:
+        self.record("stop sending", engine, is_removed)
 
     def admission_answer(self, request: Request) -> FinalAnswer | None:  # noqa: ARG002 - as in AdmissionPolicy
         return Rejected(77) if self.random.random() < 0.05 else None
@@ -141,33 +141,43 @@
 
     # ---- an attempt ---------------------------------------------------------------------------------
     def attempt(
-        self, task: Task, chosen: Assignment, request: Request, sink: ResponseSink, watch: AttemptContext
+        self,
+        task: Task,
+        assignment: Assignment,
+        request: Request,
+        sink: ResponseSink,
+        context: AttemptContext,
     ) -> AttemptOutcome:
         self.record(
-            "attempt", request.body, chosen.engine.number, chosen.attempt, chosen.priority, chosen.deadline
+            "attempt",
+            request.body,
+            assignment.engine.number,
+            assignment.attempt,
+            assignment.priority,
+            assignment.deadline,
         )
-        watch.subscribe_priority(lambda priority: self.record("priority", request.body, priority))
-        outcome = self.play_attempt(task, sink, watch)
+        context.subscribe_priority(lambda priority: self.record("priority", request.body, priority))
+        outcome = self.play_attempt(task, sink, context)
         self.record("ended", request.body, int(outcome.stage), outcome.detail)
         return outcome
 
-    def play_attempt(self, task: Task, sink: ResponseSink, watch: AttemptContext) -> AttemptOutcome:
+    def play_attempt(self, task: Task, sink: ResponseSink, context: AttemptContext) -> AttemptOutcome:
         self.loop.sleep(task, self.loop.now + self.random.choice((0.0, 0.0, 0.05, 0.3)))
         if task.interrupted:
             return AttemptOutcome(AttemptEnding.CANCELLED, DeliveryStage.CONNECTED)
-        if not watch.may_begin():
+        if not context.may_begin():
             return AttemptOutcome(AttemptEnding.NOT_SENT, DeliveryStage.CONNECTED)
         for _ in range(self.random.choice((1, 2, 4))):
             self.loop.sleep(task, self.loop.now + self.random.lognormvariate(-1.5, 1.0))
             if task.interrupted:
                 return AttemptOutcome(AttemptEnding.CANCELLED, DeliveryStage.WRITTEN)
-            watch.notify(Notification(NotificationKind.PROGRESS, self.random.random()))
+            context.notify(Notification(NotificationKind.PROGRESS, self.random.random()))
         ending, stage = self.random.choice(OUTCOMES)
         assert isinstance(sink, Sink)
         if stage is DeliveryStage.RESPONDING and self.random.random() < 0.3:
             sink.has_started = True
-            assert isinstance(watch, InFlightRequest)
-            self.dispatcher.response_started(watch)
+            assert isinstance(context, InFlightRequest)
+            self.dispatcher.response_started(context)
         report = LoadReport(cpu_utilization=self.random.random()) if stage >= DeliveryStage.WRITTEN else None
         detail = b"" if ending is AttemptEnding.COMPLETED else b"detail %d" % self.random.randrange(9)
         return AttemptOutcome(ending, stage, report, detail)
--- a/tests/upstream/test_connections.py
+++ b/tests/upstream/test_connections.py
@@ -29,10 +29,10 @@
     def may_begin(self) -> bool:
         return False
 
-    def notify(self, note: Notification) -> None:
+    def notify(self, notification: Notification) -> None:
         """Ignored."""
 
-    def subscribe_priority(self, change: Callable[[int], None]) -> None:
+    def subscribe_priority(self, callback: Callable[[int], None]) -> None:
         """Ignored."""
 
 
@@ -44,7 +44,7 @@
     def clear(self) -> None:
         raise AssertionError
 
-    def start(self, about: object) -> None:  # noqa: ARG002 - as in ResponseSink
+    def start(self, head: object) -> None:  # noqa: ARG002 - as in ResponseSink
         raise AssertionError
 
     def write(self, data: bytes) -> bool:  # noqa: ARG002 - as in ResponseSink
