--- a/lilacfront/cli.py
+++ b/lilacfront/cli.py
@@ -167,7 +167,7 @@
     paths = ConfigPaths(gateway, teams, peers, recovery)
     config = _load_config(paths)
     try:
-        server = Server(config, read_again=partial(load, paths))
+        server = Server(config, read_config=partial(load, paths))
     except StartError as error:
         raise StartRefused(str(error)) from error
     server.run()
--- a/lilacfront/server/__init__.py
+++ b/lilacfront/server/__init__.py
@@ -1,8 +1,8 @@
-"""Puts the parts together and runs them until the process is told to end.
+"""Assembles the parts of a process and runs them until SIGTERM.
 
-`builders`: the parts as the configuration wants them. `server`: the process. `endpoint_feed`,
-`client_listeners`, `peer_connection`, `operations_host`, `recovery_wiring`: what connects the parts.
-`config_reload`, `graceful_shutdown`: SIGHUP and SIGTERM.
+`builders`: creates parts from the configuration. `server`: the process. `endpoint_feed`, `client_listeners`,
+`peer_connection`, `operations_host`, `recovery_wiring`: connect the parts. `config_reload`: SIGHUP.
+`graceful_shutdown`: SIGTERM.
 """
 
 from lilacfront.server.server import Server
--- a/lilacfront/server/builders.py
+++ b/lilacfront/server/builders.py
@@ -1,4 +1,4 @@
-"""The parts of a server, as its configuration wants them."""
+"""Creates the parts of a server from its configuration."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ProcessLimits:
-    """What one process may use, of limits that hold for all processes of its front end together.
+    """Share of one process in the limits that apply to all processes of its front end together.
 
     Attributes:
-        max_upstream_connections: A third of the descriptors.
-        max_client_connections: Of one listener. All listeners together have half of the descriptors: a third
-            for clients that are served, and more for those that are yet to be rejected.
-        memory_bytes: Of the process.
-        max_queued_bytes: On their way out, of all connections together.
+        max_upstream_connections: Maximum number of connections to engines, a third of the descriptors.
+        max_client_connections: Maximum number of connections of one listener. All listeners together get half
+            of the descriptors: a third for clients that are served, and more for clients to be rejected.
+        memory_bytes: Memory that the process may use.
+        max_queued_bytes: Maximum size of the outgoing data queued on all connections together.
     """
 
     max_upstream_connections: int
@@ -37,7 +37,7 @@
     max_queued_bytes: int
 
     @classmethod
-    def of(cls, config: Config, process_count: int = 1) -> ProcessLimits:
+    def for_process(cls, config: Config, process_count: int = 1) -> ProcessLimits:
         """Return the limits of one of `process_count` processes."""
         listeners = 1 if config.gateway.clickhouse is None else 2
         all_client_connections = max(2, config.max_descriptors // CLIENT_DESCRIPTORS_DIVISOR) // listeners
@@ -51,8 +51,8 @@
 
 
 def build_upstream(config: Config, loop: Loop) -> Upstream:
-    """Return what carries attempts to engines, by the protocol that they speak."""
-    max_connections = ProcessLimits.of(config).max_upstream_connections
+    """Return the upstream for the protocol that the engines speak."""
+    max_connections = ProcessLimits.for_process(config).max_upstream_connections
     if config.gateway.upstream_protocol == "clickhouse":
         return ClickHouseUpstream(
             loop, config.connect_timeout_s, config.gateway.stall_timeout_s, max_connections
@@ -69,7 +69,7 @@
 
 
 def build_dispatcher(config: Config, loop: Loop, upstream: Upstream) -> RequestDispatcher:
-    """Return the dispatcher, with the teams' queues where they are on."""
+    """Return the dispatcher, with a team scheduler if teams are configured."""
     team_scheduler = None
     if config.teams is not None:
         threads = [request_class.threads for request_class in config.policy.classes]
@@ -78,7 +78,7 @@
 
 
 def platform_classes(config: Config) -> dict[bytes, PlatformClass]:
-    """Return the request classes of the platform's clients, by the name that they give."""
+    """Return the request classes, by the name that clients of the platform's protocol send."""
     return {
         name.encode(): PlatformClass(index, config.policy.classes[index].deadline_us / 1e6)
         for index, name in enumerate(config.class_names)
--- a/lilacfront/server/client_listeners.py
+++ b/lilacfront/server/client_listeners.py
@@ -1,4 +1,4 @@
-"""All listeners for clients of one process, and the end of their connections while they are drained."""
+"""The listeners for clients of one process, and the draining of their connections."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """The listeners of all frontends.
 
     Attributes:
-        listeners: The platform's first.
+        listeners: All listeners; the first serves the platform's protocol.
     """
 
     def __init__(self, loop: Loop, platform_frontend: PlatformFrontend) -> None:
@@ -29,22 +29,22 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether any listener's clients are sent away."""
+        """Whether any listener drains its connections."""
         return any(listener.drain is not None for listener in self.listeners)
 
     def set_accepting(self, accepting: bool) -> None:
-        """Accept new connections, or leave them to another process that listens on the same socket."""
+        """Start or stop accepting; meanwhile another process that shares the socket may accept."""
         for listener in self.listeners:
             listener.is_accepting = accepting
             listener.update_watch()
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Bound the connections of each listener."""
+        """Set the maximum number of connections of each listener."""
         for listener in self.listeners:
             listener.set_max_connections(max_connections)
 
     def set_drain(self, drain: Drain | None) -> None:
-        """End the connections by the rules of a drain; None: keep them."""
+        """Close connections by the rules of `drain`; with None, keep them open."""
         was_draining = self.is_draining
         for listener in self.listeners:
             listener.drain = drain
@@ -52,7 +52,7 @@
             self._loop.spawn(self._run_drain)
 
     def close(self) -> None:
-        """Accept nothing more; connections stay."""
+        """Close the listening sockets; established connections stay open."""
         for listener in self.listeners:
             listener.close()
 
--- a/lilacfront/server/config_reload.py
+++ b/lilacfront/server/config_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: what is taken of a configuration that is read again."""
+"""Reloads the configuration on SIGHUP and applies the settings that don't need a restart."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
     from lilacfront.server.server import Server
 
 log = Log(__name__)
-# The change log's address, the teams and the peers' keys are taken; the address for operators is set by the
-# environment, and cached events concern a start alone.
-RELOADABLE: dict[str, Any] = {
+# Fields that are set to the same value in both configurations before they are compared. The change log's
+# address, the teams and the peers' keys are applied by a reload. The admin address may come from the
+# environment, and cached events are used only at the start.
+FIELDS_NOT_COMPARED: dict[str, Any] = {
     "change_log_address": None,
     "cached_events": None,
     "teams": None,
@@ -25,14 +26,14 @@
 
 
 class ConfigReloader:
-    """Reads the configuration again and applies what may change without a restart."""
+    """Reads the configuration again and applies the settings that don't need a restart."""
 
     def __init__(self, server: Server, read_config: Callable[[], Config]) -> None:
         self._server = server
         self._read_config = read_config
 
     def reload(self) -> None:
-        """Apply the new configuration; one that can't be used is logged and changes nothing."""
+        """Apply the new configuration; an invalid one is logged and changes nothing."""
         try:
             config = self._read_config()
         except ConfigError as error:
@@ -41,7 +42,7 @@
         self._apply_change_log_address(config)
         self._apply_peer_keys(config)
         self._apply_teams(config)
-        if replace(config, **RELOADABLE) != replace(self._server.config, **RELOADABLE):
+        if replace(config, **FIELDS_NOT_COMPARED) != replace(self._server.config, **FIELDS_NOT_COMPARED):
             log.warning("configuration change needs a restart, except for change log, teams and keys")
         log.warning("configuration reloaded", change_log=config.change_log_address)
 
--- a/lilacfront/server/endpoint_feed.py
+++ b/lilacfront/server/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""The way of an update of the endpoint list: source, recovery, registry, maintenance, decisions."""
+"""Passes updates of the endpoint list from their source to recovery, registry, maintenance and router."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class EndpointFeed:
-    """Hands updates of the endpoint list to all who go by it.
+    """Passes updates of the endpoint list to the parts that use it.
 
     Attributes:
         registry: Numbers and addresses of the engines.
-        change_log: The source, where it is the change log.
-        recovery: Stores each update; None where it is off.
+        change_log: The change log; None if it is not the source.
+        recovery: Stores each update; None if recovery is off.
     """
 
     def __init__(self, config: Config, dispatcher: RequestDispatcher) -> None:
@@ -35,14 +35,15 @@
         self._operations: Operations | None = None
 
     def connect(self, operations: Operations, recovery: RecoveryCoordinator | None) -> None:
-        """Give the parts that updates pass through; called once, before the first update."""
+        """Set the parts that updates pass through; called once, before the first update."""
         self._operations = operations
         self.recovery = recovery
 
     def start_source(self, config: Config, loop: Loop) -> None:
-        """Follow etcd or the change log, whichever is configured.
+        """Start to follow etcd or the change log, whichever is configured.
 
-        With recovery the change log is created here and followed once the stored list is known.
+        With recovery, the change log is only created here; `run_recovery` starts it after the stored list has
+        been restored.
         """
         if config.gateway.etcd_endpoints:
             watch = EtcdWatch(
@@ -61,11 +62,11 @@
 
     @property
     def sequence(self) -> int:
-        """The last event of the change log that was taken; without one, the last cached event."""
+        """Number of the last change log event applied; without a change log, of the last cached event."""
         return self._cached_sequence if self.change_log is None else self.change_log.sequence
 
     def receive_update(self, update: EndpointUpdate, sequence: int | None = None) -> None:
-        """Take an update from a source; those of the change log arrive one by one, in order."""
+        """Process an update from the source; change log updates arrive one at a time and in order."""
         if self.recovery is not None:
             if sequence is None:
                 sequence = 0 if self.change_log is None else self.change_log.sequence + 1
@@ -73,7 +74,7 @@
         self.apply_update(update)
 
     def apply_update(self, update: EndpointUpdate) -> None:
-        """Have the decisions go by an update, but for engines that operators have suspended."""
+        """Pass an update to the router after applying the operators' suspensions to it."""
         assert self._operations is not None
         endpoint_list, addresses = self.registry.apply(update)
         instance_ids = [record.instance_id for record in update.endpoints if record.instance_id]
@@ -81,15 +82,15 @@
         self._dispatcher.update_endpoints(visible, addresses)
 
     def republish(self, endpoint_list: EndpointList) -> None:
-        """Hand a change that operators asked for to the decisions."""
+        """Pass a change of the endpoint list made by an operator to the router."""
         self._dispatcher.update_endpoints(endpoint_list, self.registry.addresses)
 
     def resume_from(self, sequence: int) -> None:
-        """Ask the change log only for events after this one."""
+        """Request only events after this one from the change log."""
         if self.change_log is not None:
             self.change_log.sequence = max(sequence, self.change_log.sequence)
 
     def engine_name(self, engine: int) -> str:
-        """Return an engine's address, by which a person knows it."""
+        """Return an engine's address as text, for messages to operators."""
         host, port = self.registry.addresses.get(engine, ("unknown", engine))
         return f"{host}:{port}"
--- a/lilacfront/server/graceful_shutdown.py
+++ b/lilacfront/server/graceful_shutdown.py
@@ -1,8 +1,8 @@
-"""SIGTERM: the end of the process, with a final answer for everything that it has accepted.
+"""Shuts the process down after SIGTERM, with a final answer for every request that it has accepted.
 
-`ping` answers "not good" at once; new connections and requests are served for a grace period. Then nothing
-new is accepted, and each client's connection is closed in order as soon as it has nothing in flight. What is
-still open shortly before SIGKILL may come is answered then.
+`ping` reports an unhealthy process at once; new connections and requests are served for a grace period. Then
+the listening sockets are closed, and each client connection is closed in an orderly way as soon as it has
+nothing in flight. Requests still open shortly before a possible SIGKILL get their final answer at that time.
 """
 
 from __future__ import annotations
@@ -17,17 +17,18 @@
 if TYPE_CHECKING:
     from lilacfront.server.server import Server
 
-GRACE_PERIOD_S = 0.8  # clients are sent elsewhere within this
-# SIGKILL comes no sooner than this, and the longest deadline up to a bound, after SIGTERM.
+GRACE_PERIOD_S = 0.8  # within this time new clients are directed to other processes
+# SIGKILL follows SIGTERM after this delay plus the longest request deadline, bounded by MAX_KILL_DEADLINE_*,
+# at the earliest.
 KILL_DELAY_S = 0.7
 MAX_KILL_DEADLINE_S = 3.0
 MAX_KILL_DEADLINE_WITH_SUCCESSOR_S = 5.0
-KILL_MARGIN_S = 0.2  # before SIGKILL, when what is still open gets its final answer
+KILL_MARGIN_S = 0.2  # requests still open this long before SIGKILL get their final answer
 CHECK_INTERVAL_S = 0.02
 
 
 class GracefulShutdown:
-    """The shutdown of one server; `begin` is called once or more, the rest happens by itself."""
+    """The shutdown of one server; `begin` starts it, and further calls have no effect."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -35,16 +36,16 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether SIGTERM has come."""
+        """Whether the shutdown has begun."""
         return self._grace_end < math.inf
 
     def begin(self) -> None:
-        """Begin to shut down; where another process takes over, this one accepts no more clients."""
+        """Start the shutdown; if another process takes over, this one stops accepting clients."""
         if self.has_begun:
             return
         server = self._server
-        began = server.loop.clock()
-        self._grace_end = began + GRACE_PERIOD_S
+        began_at = server.loop.clock()
+        self._grace_end = began_at + GRACE_PERIOD_S
         kill_with_successor_s = _kill_after_s(server.config, MAX_KILL_DEADLINE_WITH_SUCCESSOR_S)
         kill_alone_s = _kill_after_s(server.config, MAX_KILL_DEADLINE_S)
         drain_alone = shutdown_deadlines(GRACE_PERIOD_S, kill_alone_s - KILL_MARGIN_S)
@@ -55,15 +56,14 @@
             else:
                 server.membership.leave()
         kill_after_s = kill_with_successor_s if is_handed_over else kill_alone_s
-        server.loop.spawn(self._run, began + kill_after_s - KILL_MARGIN_S)
+        server.loop.spawn(self._run, began_at + kill_after_s - KILL_MARGIN_S)
 
     def _run(self, task: Task, deadline: float) -> None:
         server = self._server
         server.loop.sleep(task, self._grace_end)
         server.clients.close()
-        # An answer counts once its client has it, and a client may read slowly. Each connection is closed in
-        # order before the process ends: its end would turn unread bytes into a reset, which takes the last
-        # answers along.
+        # Clients may read slowly, so each connection is closed in an orderly way before the process exits.
+        # Exiting with unread input would reset the connection, and the client would lose the last answers.
         while self._has_open_work():
             server.loop.sleep(task, server.loop.now + CHECK_INTERVAL_S)
             if server.loop.now < deadline:
--- a/lilacfront/server/memory.py
+++ b/lilacfront/server/memory.py
@@ -1,4 +1,4 @@
-"""Memory that the C library holds free."""
+"""Returns memory that the C library keeps free to the system."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from lilacfront.sched import Loop, Task
 
-RELEASE_INTERVAL_S = 5.0  # releasing takes half a millisecond
+RELEASE_INTERVAL_S = 5.0  # each release takes half a millisecond
 
 
 def release_free_memory() -> None:
-    """Have the C library return free pages to the system.
+    """Make the C library return free pages to the system.
 
-    The saved stacks of waiting tasks, of many sizes, come and go with connections and leave free memory
-    scattered between what is in use; over days it would grow by megabytes.
+    The saved stacks of waiting tasks have many sizes and are allocated and freed with connections. This
+    fragments the heap, which would grow by megabytes over days.
     """
     trim = getattr(ctypes.CDLL(None), "malloc_trim", None)
     if trim is not None:
@@ -21,7 +21,7 @@
 
 
 def run_memory_release(task: Task, loop: Loop) -> None:
-    """Release free memory for as long as the process runs; a task of its own."""
+    """Release free memory periodically, in a task of its own, for as long as the process runs."""
     while True:
         loop.sleep(task, loop.now + RELEASE_INTERVAL_S)
         release_free_memory()
--- a/lilacfront/server/operations_host.py
+++ b/lilacfront/server/operations_host.py
@@ -1,4 +1,4 @@
-"""Connects operations to the rest of a server."""
+"""Connects the operations package to the other parts of a server."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class ServerOperationsHost:
-    """The `OperationsHost` of a server, whose parts may be built after this."""
+    """The `OperationsHost` of a server; the server may create its other parts later."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
 
     # ---- endpoints and limits -----------------------------------------------------------------------
     def update_endpoints(self, update: EndpointList) -> None:
-        """Pass an update of the endpoint list to the decisions."""
+        """Pass an update of the endpoint list to the router."""
         self._server.endpoint_feed.republish(update)
 
     def set_process_count(self, processes: int) -> None:
@@ -36,54 +36,54 @@
         return change_log is None or change_log.is_caught_up
 
     def change_log_seq(self) -> int:
-        """Number of the last change log event applied; 0 without one."""
+        """Number of the last change log event applied; 0 without a change log."""
         change_log = self._server.change_log
         return 0 if change_log is None else change_log.sequence
 
     # ---- client connections -------------------------------------------------------------------------
     def set_drain(self, drain: Drain | None) -> None:
-        """End the client connections by the rules of a drain; None: keep them."""
+        """Close client connections by the rules of `drain`; with None, keep them open."""
         self._server.set_drain(drain)
 
     def set_accepting(self, accepting: bool) -> None:
-        """Accept new client connections, or leave them to another process."""
+        """Start or stop accepting client connections."""
         self._server.clients.set_accepting(accepting)
 
     def transfer_connections(self, successor: TransferChannel) -> None:
-        """Transfer each client connection to another process as soon as possible."""
+        """Transfer each client connection to the successor process as soon as possible."""
         self._server.platform_frontend.transfer_connections(successor)
 
     def on_message(self, channel: TransferChannel, message: Message, descriptor: int | None) -> None:
-        """Hand a message about a connection to the platform front end."""
+        """Pass a message about a connection to the platform frontend."""
         self._server.platform_frontend.on_message(channel, message, descriptor)
 
     def on_channel_closed(self, channel: TransferChannel) -> None:
-        """Tell the platform front end that a channel has closed."""
+        """Notify the platform frontend that a channel has closed."""
         self._server.platform_frontend.on_channel_closed(channel)
 
-    # ---- recovery, membership and decisions ---------------------------------------------------------
+    # ---- recovery, membership and router ------------------------------------------------------------
     def is_recovering(self) -> bool:
-        """Whether recovery from a power loss still holds back all requests."""
+        """Whether no request is admitted because recovery from a power loss is in progress."""
         recovery = self._server.recovery
         return recovery is not None and recovery.unavailable
 
     def on_directive(self, directive: OperatorDirective) -> None:
-        """Have a directive kept for the case of a power loss."""
+        """Store a directive durably, so that it survives a power loss."""
         if self._server.recovery is not None:
             self._server.recovery.record_directive(directive)
 
     def status_note(self) -> str:
-        """What STATUS says of recovery; empty without it."""
+        """Text on recovery for the answer to STATUS; empty if there is nothing to report."""
         return "" if self._server.recovery is None else self._server.recovery.status_note()
 
     def member_lines(self) -> list[str] | None:
-        """The answer to PEERS; None without membership."""
+        """Lines of the answer to PEERS; None without membership."""
         return None if self._server.membership is None else self._server.membership.status_lines()
 
     def export_learned_state(self) -> LearnedState:
-        """The measurements of the decisions."""
+        """Return the estimates that the router has learned."""
         return export_learned_state(self._server.dispatcher.router)
 
     def import_learned_state(self, learned: LearnedState, age_s: float) -> None:
-        """Start the decisions from another process's measurements, `age_s` old."""
+        """Initialize the router with estimates of another process that are `age_s` seconds old."""
         import_learned_state(self._server.dispatcher.router, learned, age_s)
--- a/lilacfront/server/peer_connection.py
+++ b/lilacfront/server/peer_connection.py
@@ -1,4 +1,4 @@
-"""The datagram socket to the other front ends, opened again where the address is still taken."""
+"""The datagram socket to the other front ends; opening is retried while the address is in use."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """Sends and receives the datagrams of load gossip and membership.
 
     Attributes:
-        link: The socket, once it is open.
+        link: The socket; None until it is open.
     """
 
     def __init__(
@@ -36,10 +36,10 @@
         self._receive = receive
 
     def open(self, address: tuple[str, int]) -> None:
-        """Open the socket; beside other processes of this front end, retry for as long as it is taken.
+        """Open the socket; retry while another process of this front end may be using the address.
 
         Raises:
-            StartError: The address can't be used, and no other process can be the reason.
+            StartError: The address can't be used, and this front end has no other processes.
         """
         is_shared = self._config.state_directory is not None
         try:
@@ -56,7 +56,7 @@
             self._dispatcher.set_peer_transport(self.link)
 
     def send(self, peer: int, data: bytes) -> None:
-        """Send a datagram to one peer; it is lost while the socket is not open."""
+        """Send a datagram to one peer; it is dropped while the socket is not open."""
         if self.link is not None:
             self.link.send(peer, data)
 
--- a/lilacfront/server/recovery_wiring.py
+++ b/lilacfront/server/recovery_wiring.py
@@ -1,4 +1,4 @@
-"""Connects recovery from a power loss to the rest of a server."""
+"""Connects the recovery package to the other parts of a server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ServerRecoveryHost:
-    """The `RecoveryHost` of a server, whose parts may be built after this."""
+    """The `RecoveryHost` of a server; the server may create its other parts later."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -29,42 +29,42 @@
         return self._server.endpoint_feed.sequence
 
     def endpoints_confirmed(self) -> bool:
-        """Whether the change log has answered, or there is none."""
+        """Whether the change log has answered; True without a change log."""
         change_log = self._server.endpoint_feed.change_log
         return change_log is None or change_log.has_answered
 
     def apply_endpoints(self, update: EndpointUpdate) -> None:
-        """Have the decisions go by this endpoint list."""
+        """Apply this endpoint list, as `EndpointFeed.apply_update` does."""
         self._server.endpoint_feed.apply_update(update)
 
     def resume_change_log(self, seq: int) -> None:
-        """Ask the change log only for events after this one."""
+        """Request only events after this one from the change log."""
         self._server.endpoint_feed.resume_from(seq)
 
-    # ---- operators and decisions --------------------------------------------------------------------
+    # ---- operators and router -----------------------------------------------------------------------
     def adopt_directives(self, directives: Iterable[OperatorDirective]) -> None:
         """Merge restored directives with those in force."""
         self._server.operations.adopt_directives(directives)
 
     def export_learned_state(self) -> LearnedState:
-        """The measurements of the decisions."""
+        """Return the estimates that the router has learned."""
         return export_learned_state(self._server.dispatcher.router)
 
     def import_learned_state(self, learned: LearnedState, age_s: float) -> None:
-        """Start the decisions from another process's measurements, `age_s` old."""
+        """Initialize the router with stored estimates that are `age_s` seconds old."""
         import_learned_state(self._server.dispatcher.router, learned, age_s)
 
     def ready_cores(self) -> float:
-        """Cores of all ready engines together."""
+        """Total cores of all ready engines."""
         return self._server.dispatcher.ready_cores
 
     def gateway_count(self) -> int:
-        """How many gateways share the engines."""
+        """Number of gateways that share the engines."""
         return self._server.dispatcher.router.state.fleet_size.count
 
 
 def build_recovery(server: Server) -> RecoveryCoordinator:
-    """Return the coordinator; its package is imported only where recovery is on."""
+    """Return the coordinator; its package is imported only if recovery is on."""
     from lilacfront.recovery.coordinator import RecoveryCoordinator
 
     config = server.config
@@ -80,7 +80,7 @@
 
 
 def run_recovery(task: Task, server: Server, recovery: RecoveryCoordinator) -> None:
-    """Run recovery; the change log is followed from the stored list on, once that is known."""
+    """Run recovery, and start to follow the change log after the stored list has been restored."""
     server.loop.spawn(recovery.run)
     while not recovery.restored:
         server.loop.sleep(task, server.loop.now + RESTORE_CHECK_INTERVAL_S)
--- a/lilacfront/server/server.py
+++ b/lilacfront/server/server.py
@@ -27,7 +27,7 @@
 from lilacfront.server.operations_host import ServerOperationsHost
 from lilacfront.server.peer_connection import PeerConnection
 from lilacfront.server.recovery_wiring import build_recovery, run_recovery
-from lilacfront.server.start import StartError, address_in_use_is_start_error, adopt_listener
+from lilacfront.server.start import StartError, adopt_listening_socket, os_error_as_start_error
 
 if TYPE_CHECKING:
     from lilacfront.recovery.coordinator import RecoveryCoordinator
@@ -36,44 +36,44 @@
 
 
 class Server:
-    """The parts of one process, and their life.
+    """Creates, runs and closes the parts of one process.
 
     Attributes:
-        config: What the process runs with; parts of it change with SIGHUP.
+        config: The configuration in use; SIGHUP may change parts of it.
         loop: Runs all tasks.
-        upstream: Carries attempts to engines.
-        dispatcher: Brings requests, decisions and attempts together.
-        endpoint_feed: The way of the endpoint list.
-        operations: Admin commands, maintenance, draining, other processes of this front end.
-        recovery: From a power loss; None: off.
+        upstream: Sends attempts to engines.
+        dispatcher: Connects requests and attempts to the router.
+        endpoint_feed: Passes updates of the endpoint list to the parts that use it.
+        operations: Handles admin commands, maintenance, draining and other processes of this front end.
+        recovery: Restores state after a power loss; None if recovery is off.
         platform_frontend: Speaks the platform's protocol to clients.
         clients: The listeners for clients.
-        membership: Which other front ends are alive; None: off.
-        peer_connection: Datagrams to and from the other front ends.
-        shutdown: The end after SIGTERM.
+        membership: Tracks which other front ends are alive; None if membership is off.
+        peer_connection: Exchanges datagrams with the other front ends.
+        shutdown: The graceful shutdown after SIGTERM.
     """
 
     def __init__(
-        self, config: Config, loop: Loop | None = None, read_again: Callable[[], Config] | None = None
+        self, config: Config, loop: Loop | None = None, read_config: Callable[[], Config] | None = None
     ) -> None:
-        """Build all parts and start their tasks; nothing runs before the loop does.
+        """Create all parts and spawn their tasks, which begin once the loop runs.
 
         Args:
-            config: What the process runs with.
-            loop: Runs all tasks; by default one on the system's clock.
-            read_again: Reads the configuration anew, on SIGHUP.
+            config: The configuration.
+            loop: Runs all tasks; by default a loop on the system's clock.
+            read_config: Reads the configuration again on SIGHUP; None disables reloading.
 
         Raises:
             StartError: An address or a descriptor can't be used.
         """
         self.config = config
         self.loop = loop or Loop()
-        self.loop.queued_most = ProcessLimits.of(config).max_queued_bytes
+        self.loop.queued_most = ProcessLimits.for_process(config).max_queued_bytes
         self.upstream = build_upstream(config, self.loop)
         self.dispatcher = build_dispatcher(config, self.loop, self.upstream)
         self.endpoint_feed = EndpointFeed(config, self.dispatcher)
         self.shutdown = GracefulShutdown(self)
-        self._reloader = None if read_again is None else ConfigReloader(self, read_again)
+        self._reloader = None if read_config is None else ConfigReloader(self, read_config)
         self.recovery: RecoveryCoordinator | None = None
         self.membership: MembershipService | None = None
         self.operations = Operations(
@@ -100,28 +100,28 @@
 
     @property
     def listeners(self) -> list[Listener]:
-        """The listeners for clients, the platform's first."""
+        """The listeners for clients; the first serves the platform's protocol."""
         return self.clients.listeners
 
     @property
     def change_log(self) -> ChangeLog | None:
-        """The source of the endpoint list, where it is the change log."""
+        """The change log; None if it is not the source of the endpoint list."""
         return self.endpoint_feed.change_log
 
     def receive_update(self, update: EndpointUpdate, sequence: int | None = None) -> None:
-        """Take an update of the endpoint list; see `EndpointFeed.receive_update`."""
+        """Process an update of the endpoint list; see `EndpointFeed.receive_update`."""
         self.endpoint_feed.receive_update(update, sequence)
 
     def set_process_count(self, process_count: int) -> None:
-        """Take this process's part of the limits, which hold for all processes of this front end."""
-        limits = ProcessLimits.of(self.config, process_count)
+        """Set this process's share of the limits, which apply to all processes of this front end together."""
+        limits = ProcessLimits.for_process(self.config, process_count)
         self.upstream.max_connections = limits.max_upstream_connections
         self.platform_frontend.set_memory(limits.memory_bytes)
         self.loop.queued_most = limits.max_queued_bytes
         self.clients.set_max_connections(limits.max_client_connections)
 
     def set_drain(self, drain: Drain | None) -> None:
-        """Send the clients away by the rules of a drain; None: keep them."""
+        """Close client connections by the rules of `drain`; with None, keep them open."""
         if self.membership is not None and not self.shutdown.has_begun:
             if drain is None:
                 self.membership.rejoin()
@@ -130,19 +130,19 @@
         self.clients.set_drain(drain)
 
     def reload_config(self) -> None:
-        """Read the configuration again, on SIGHUP."""
+        """Reload the configuration, on SIGHUP."""
         if self._reloader is not None:
             self._reloader.reload()
 
     def begin_shutdown(self) -> None:
-        """Begin to end, on SIGTERM."""
+        """Start the graceful shutdown, on SIGTERM."""
         self.shutdown.begin()
 
     def run(self) -> None:
         """Serve until the shutdown is complete."""
         signal.signal(signal.SIGTERM, lambda *_: self.begin_shutdown())
         signal.signal(signal.SIGINT, lambda *_: self.begin_shutdown())
-        # In a task of its own, not within whatever the signal happens to interrupt.
+        # Reload in a task of its own, not in the code that the signal interrupts.
         signal.signal(signal.SIGHUP, lambda *_: self.loop.spawn(lambda _: self.reload_config()))
         signal.set_wakeup_fd(self.loop.wake_out.fileno(), warn_on_full_buffer=False)
         log.debug(
@@ -152,7 +152,7 @@
             connect_timeout_s=self.config.connect_timeout_s,
         )
         gc.collect()
-        gc.freeze()  # what the start made stays: later collections need not walk it
+        gc.freeze()  # objects created at the start are long-lived; later collections skip them
         for listener in self.listeners:
             log.warning("listening", name=self.config.name or "lilacfront", address=listener.address)
         self.loop.run()
@@ -186,9 +186,11 @@
 
     def _listen_for_clients(self) -> None:
         config = self.config
-        max_connections = ProcessLimits.of(config).max_client_connections
-        passed_socket = None if config.passed_descriptor is None else adopt_listener(config.passed_descriptor)
-        with address_in_use_is_start_error("listen", config.listen_address):
+        max_connections = ProcessLimits.for_process(config).max_client_connections
+        passed_socket = (
+            None if config.passed_descriptor is None else adopt_listening_socket(config.passed_descriptor)
+        )
+        with os_error_as_start_error("listen", config.listen_address):
             self.listeners.append(
                 self.platform_frontend.listen(config.listen_address, max_connections, passed_socket)
             )
@@ -204,7 +206,7 @@
             clickhouse.max_bodies_bytes,
             self.operations,
         )
-        with address_in_use_is_start_error("clickhouse.listen", clickhouse.listen_address):
+        with os_error_as_start_error("clickhouse.listen", clickhouse.listen_address):
             self.listeners.append(frontend.listen(clickhouse.listen_address, max_connections))
 
     def _start_membership(self) -> None:
@@ -221,12 +223,14 @@
     def _build_membership(self) -> MembershipService:
         config = self.config
         member_count = len(config.peer_addresses)
-        own = config.policy.gateway_index
-        if not 0 <= own < member_count:
-            raise StartError("peers", f"{member_count} of them, but this one's number is {own}")
+        own_index = config.policy.gateway_index
+        if not 0 <= own_index < member_count:
+            raise StartError(
+                "peers", f"the list has {member_count} addresses, but this gateway's index is {own_index}"
+            )
         return MembershipService(
             self.loop,
-            MemberConfig(config.membership, member_count, own, config.seed, config.peer_keys),
+            MemberConfig(config.membership, member_count, own_index, config.seed, config.peer_keys),
             self.dispatcher.router.state.fleet_size,
             self.dispatcher.router.state.outlier_gossip,
             MembershipHooks(
@@ -248,7 +252,7 @@
         self.loop.spawn(run_memory_release, self.loop)
         self.endpoint_feed.start_source(config, self.loop)
         if config.admin_address is not None:
-            with address_in_use_is_start_error("PROXY_ADMIN or admin", config.admin_address):
+            with os_error_as_start_error("PROXY_ADMIN or admin", config.admin_address):
                 self.operations.listen(config.admin_address, config.max_descriptors)
         self.operations.start()
         self.loop.spawn(self.operations.run)
--- a/lilacfront/server/start.py
+++ b/lilacfront/server/start.py
@@ -1,4 +1,4 @@
-"""Addresses and descriptors at the start of the process."""
+"""Errors and helpers for the addresses and descriptors that a process starts with."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 
 
 class StartError(SettingsError):
-    """An address or a descriptor that can't be used; the key names the setting."""
+    """An address or a descriptor can't be used; the key names the setting."""
 
 
 @contextmanager
-def address_in_use_is_start_error(key: str, address: tuple[str, int]) -> Iterator[None]:
-    """Turn what the system says against an address into a StartError."""
+def os_error_as_start_error(key: str, address: tuple[str, int]) -> Iterator[None]:
+    """Convert an OSError for an address into a StartError."""
     try:
         yield
     except OSError as error:
         raise StartError(key, f"{address[0]}:{address[1]}: {error.strerror}") from error
 
 
-def adopt_listener(descriptor: int) -> socket.socket:
-    """Return the listening socket that this process was started with.
+def adopt_listening_socket(descriptor: int) -> socket.socket:
+    """Return the listening socket that this process inherited.
 
     Raises:
         StartError: The descriptor is not a listening TCP socket.
