--- a/lilacfront/__init__.py
+++ b/lilacfront/__init__.py
@@ -1,4 +1,4 @@
-"""lilacfront: a gateway that places queries on engines with limited memory."""
+"""lilacfront: a gateway that distributes queries to engines with limited memory."""
 
 from lilacfront.decisions.router import RequestRouter
 
--- a/lilacfront/cli.py
+++ b/lilacfront/cli.py
@@ -23,12 +23,12 @@
 
 @dataclass(slots=True, frozen=True)
 class LazyCommand:
-    """A command whose module is imported when it is called: the serving path must not load it.
+    """A command whose module is imported only when the command is used, to keep it out of the serving path.
 
     Attributes:
-        module: Where the command is defined.
-        attribute: Its name there.
-        help: One line, shown without importing the module.
+        module: Name of the module that defines the command.
+        attribute: Name of the command in the module.
+        help: One-line help, shown without importing the module.
     """
 
     module: str
@@ -37,28 +37,34 @@
 
 
 LAZY_COMMANDS = {
-    "demo": LazyCommand("lilacfront.demo", "demo", "Stand-in warehouses, the gateway, and a load on it."),
-    "lab": LazyCommand("lilacfront.experiments.cli", "group", "Stand-ins and experiments."),
-    "teams": LazyCommand("lilacfront.teams.cli", "group", "Queues with budgets for teams."),
+    "demo": LazyCommand("lilacfront.demo", "demo", "Run stand-in warehouses, the gateway and a load on it."),
+    "lab": LazyCommand("lilacfront.experiments.cli", "group", "Run stand-in warehouses and experiments."),
+    "teams": LazyCommand("lilacfront.teams.cli", "group", "Work with team queues and their budgets."),
     "ops": LazyCommand(
-        "lilacfront.operations.cli", "group", "Calls to a running front end: status, suspend, pause, …"
+        "lilacfront.operations.cli",
+        "group",
+        "Send a command to a running front end: status, suspend, pause, …",
     ),
     "peers": LazyCommand(
-        "lilacfront.operations.peers_cli", "command", "Which front ends are alive, as one of them sees it."
+        "lilacfront.operations.peers_cli",
+        "command",
+        "Show which front ends are alive, as seen by one of them.",
+    ),
+    "load": LazyCommand(
+        "lilacfront.load.cli", "group", "Generate open-loop load; latencies count from the due time."
     ),
-    "load": LazyCommand("lilacfront.load.cli", "group", "Open-loop load with latencies from the due time."),
 }
 
 
 class CommandGroup(click.Group):
-    """The commands of the serving path, and the lazy ones when they are asked for."""
+    """A command group that also contains `LAZY_COMMANDS`, imported on first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return all names, sorted."""
+        """Return the names of all commands, sorted."""
         return sorted([*super().list_commands(ctx), *LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return a command, importing its module where it is a lazy one.
+        """Return a command; import its module first if it is a lazy command.
 
         Raises:
             click.ClickException: The module needs a library that is not installed.
@@ -72,15 +78,15 @@
             if missing.name is None or missing.name.startswith("lilacfront"):
                 raise
             raise click.ClickException(
-                f"`{cmd_name}` needs the library {missing.name}; install what requirements-lab.txt names"
+                f"`{cmd_name}` needs the library {missing.name}; install the packages in requirements-lab.txt"
             ) from missing
         command = getattr(module, lazy.attribute)
         assert isinstance(command, click.Command)
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """Write the list of commands as click does, without importing the lazy ones."""
-        del ctx  # click's signature
+        """Write the list of commands as click does, but don't import the modules of lazy commands."""
+        del ctx  # unused, but part of click's signature
         eager = [(name, command.get_short_help_str(90)) for name, command in sorted(self.commands.items())]
         lazy = [(name, command.help) for name, command in LAZY_COMMANDS.items()]
         with formatter.section("Commands"):
@@ -93,17 +99,17 @@
     type=click.Choice(["console", "json"]),
     default="console",
     show_default=True,
-    help="Log lines for a person, or one JSON object each.",
+    help="Write log lines as text for the console, or as one JSON object per line.",
 )
 @click.option(
     "--log-level",
     type=click.Choice(logs.LEVELS),
     default="warning",
     show_default=True,
-    help="The least severe level that is logged; repeated lines are limited from warning up.",
+    help="The lowest level that is logged; at warning and error, the rate of lines is limited.",
 )
 def main(log_format: logs.LogFormat, log_level: str) -> None:
-    """lilacfront: a front end that places queries on engines."""
+    """lilacfront: a front end that distributes database queries to engines."""
     logs.configure(log_format, log_level)
 
 
@@ -118,21 +124,25 @@
 
 
 def config_options(command: Command) -> Command:
-    """Add the options that name the configuration files besides the platform's."""
+    """Add the options for the paths of the optional configuration files."""
     options = (
         _file_option(
             "--gateway",
             "deploy/clickhouse.toml",
-            "The file that turns on the ClickHouse frontend, HTTP warehouses and etcd.",
+            "File that turns on the ClickHouse frontend, HTTP warehouses and etcd.",
+        ),
+        _file_option(
+            "--teams", "deploy/teams.toml", "File that configures the team queues and their budgets."
         ),
-        _file_option("--teams", "deploy/teams.toml", "The file that sets queues with budgets for teams."),
         _file_option(
-            "--peers", "deploy/peers.toml", "The file that has front ends follow which of them are alive."
+            "--peers",
+            "deploy/peers.toml",
+            "File that turns on membership, which tracks the front ends that are alive.",
         ),
         _file_option(
             "--recovery",
             "deploy/recovery.toml",
-            "The file that has a front end store what it needs after a power loss.",
+            "File that turns on recovery, which stores the state needed after a power loss.",
         ),
     )
     for option in reversed(options):
@@ -140,8 +150,8 @@
     return command
 
 
-class StartRefused(click.ClickException):
-    """The program can't start with this configuration: one line that says why, and exit code 2."""
+class StartFailed(click.ClickException):
+    """The program can't start with this configuration; prints the reason on one line, with exit code 2."""
 
     exit_code = 2
 
@@ -150,16 +160,18 @@
     try:
         return load(paths)
     except ConfigError as error:
-        raise StartRefused(str(error)) from error
+        raise StartFailed(str(error)) from error
 
 
 @main.command()
 @config_options
-@click.option("--verbose", is_flag=True, help="The same as --log-level info before `serve`.")
+@click.option(
+    "--verbose", is_flag=True, help="Log at level info; the same as --log-level info before `serve`."
+)
 @click.pass_context
 def serve(ctx: click.Context, gateway: Path, teams: Path, peers: Path, recovery: Path, verbose: bool) -> None:
-    """Serve until SIGTERM; PROXY_CONFIG names the configuration, which SIGHUP has read again."""
-    # Until there is a handler for it, SIGHUP must not end the program.
+    """Serve until SIGTERM; SIGHUP reloads the configuration file that PROXY_CONFIG names."""
+    # SIGHUP must not end the program before its handler is installed.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     if verbose:
         main_options: dict[str, Any] = ctx.parent.params if ctx.parent is not None else {}
@@ -169,14 +181,14 @@
     try:
         server = Server(config, read_config=partial(load, paths))
     except StartError as error:
-        raise StartRefused(str(error)) from error
+        raise StartFailed(str(error)) from error
     server.run()
 
 
 @main.command()
 @config_options
 def check_config(gateway: Path, teams: Path, peers: Path, recovery: Path) -> None:
-    """Check the configuration and tell what is wrong with it."""
+    """Check the configuration and print the first error."""
     config = _load_config(ConfigPaths(gateway, teams, peers, recovery))
     name = config.name or "lilacfront"
     click.echo(f"{name}: {len(config.class_names)} classes, listens at {config.listen_address}")
--- a/lilacfront/config/__init__.py
+++ b/lilacfront/config/__init__.py
@@ -1,7 +1,7 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reads and validates the configuration and fills in defaults; no other package does.
 
-`model`: the checked configuration. `platform_file` and `gateway_file`: the two files of this package, as they
-stand. `loader`: reads all files and checks them together. Errors name the setting that can't be used.
+`model`: the validated configuration. `platform_file` and `gateway_file`: parse the two files whose schemas
+belong to this package. `loader`: reads all files and validates them together. Errors name the invalid setting.
 """
 
 from lilacfront.config.loader import load, parse
--- a/lilacfront/config/addresses.py
+++ b/lilacfront/config/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses in settings, `HOST:PORT`."""
+"""Parsers for addresses of the form `HOST:PORT` in settings."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from lilacfront.discovery.endpoint_list import EndpointListError, parse_address
 
 
-def parse_listed_address(text: str, key: str, min_port: int = 1) -> Address:
-    """Parse the address that stands under a key.
+def parse_address_setting(text: str, key: str, min_port: int = 1) -> Address:
+    """Parse the address that is the value of a key.
 
     Raises:
-        ConfigError: It is not HOST:PORT, or the port is below `min_port`.
+        ConfigError: The text is not HOST:PORT, or the port is below `min_port`.
     """
     try:
         return parse_address(text, min_port)
@@ -19,21 +19,21 @@
 
 
 def parse_peer_addresses(addresses: list[str]) -> tuple[Address, ...]:
-    """Parse the peers' addresses, which must differ.
+    """Parse the addresses of the peers, which must be unique.
 
     Raises:
-        ConfigError: An address can't be used or stands there twice.
+        ConfigError: An address is invalid or listed more than once.
     """
     first_index: dict[Address, int] = {}
     repeated: set[Address] = set()
     parsed = []
     for index, text in enumerate(addresses):
-        address = parse_listed_address(text, f"peers[{index}]")
+        address = parse_address_setting(text, f"peers[{index}]")
         parsed.append(address)
         if address in first_index:
             repeated.add(address)
         first_index.setdefault(address, index)
     if repeated:
         host, port = min(repeated)
-        raise ConfigError(f"peers[{first_index[host, port]}]", f"{host}:{port} stands there twice")
+        raise ConfigError(f"peers[{first_index[host, port]}]", f"{host}:{port} is listed more than once")
     return tuple(parsed)
--- a/lilacfront/config/gateway_file.py
+++ b/lilacfront/config/gateway_file.py
@@ -1,4 +1,4 @@
-"""The gateway's own file, `deploy/clickhouse.toml`: the ClickHouse frontend, HTTP engines and etcd."""
+"""Parses the gateway file, `deploy/clickhouse.toml`: ClickHouse frontend, HTTP engines and etcd."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lilacfront.config.addresses import parse_listed_address
+from lilacfront.config.addresses import parse_address_setting
 from lilacfront.config.model import ClickHouseSettings, ConfigError, GatewaySettings, UpstreamProtocol
 from lilacfront.core.statement_class import ClassRule, StatementClassifier
 from lilacfront.decisions.settings import Idempotency, PolicySettings
@@ -16,7 +16,7 @@
 
 
 class RuleTable(msgspec.Struct, forbid_unknown_fields=True, rename={"class_name": "class"}):
-    """[[clickhouse.rules]]: reads of this user whose statement matches the pattern get this class."""
+    """[[clickhouse.rules]]: assigns the class to reads of the user whose statement matches the pattern."""
 
     class_name: str
     user: str = ""
@@ -24,7 +24,7 @@
 
 
 class ClickHouseTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[clickhouse]: the frontend that speaks the ClickHouse HTTP interface. Without `listen` it is off."""
+    """[clickhouse]: the frontend for the ClickHouse HTTP interface; it is off without `listen`."""
 
     listen: str = ""
     read_class: str = ""
@@ -35,21 +35,21 @@
 
 
 class WarehousesTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[warehouses]: what the engines speak."""
+    """[warehouses]: the protocol of the engines."""
 
     protocol: UpstreamProtocol = "resp"
     stall_s: float = 5.0
 
 
 class EtcdTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[etcd]: where the endpoint list is watched in place of the change log."""
+    """[etcd]: the etcd endpoints to watch for the endpoint list instead of the change log."""
 
     endpoints: list[str] = []
     prefix: str = "/warehouses/"
 
 
 class GatewayFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The whole file; absent, or all comments, on the platform."""
+    """The whole file; on the platform it is absent or contains only comments."""
 
     clickhouse: ClickHouseTable = msgspec.field(default_factory=ClickHouseTable)
     warehouses: WarehousesTable = msgspec.field(default_factory=WarehousesTable)
@@ -57,10 +57,10 @@
 
 
 def parse_gateway_file(text: bytes, class_names: tuple[str, ...], policy: PolicySettings) -> GatewaySettings:
-    """Decode and check the file.
+    """Decode and validate the file.
 
     Raises:
-        ConfigError: It can't be used; the error names the key.
+        ConfigError: The file is invalid; the error names the key.
     """
     try:
         file = msgspec.toml.decode(text, type=GatewayFile)
@@ -68,9 +68,12 @@
         raise ConfigError("gateway file", error) from error
     has_frontend = bool(file.clickhouse.listen)
     if has_frontend and file.warehouses.protocol != "clickhouse":
-        raise ConfigError("warehouses.protocol", 'must be "clickhouse" where clickhouse.listen is set')
+        raise ConfigError("warehouses.protocol", 'must be "clickhouse" if clickhouse.listen is set')
     if not 0 < file.warehouses.stall_s <= MAX_STALL_TIMEOUT_S:
-        raise ConfigError("warehouses.stall_s", f"{file.warehouses.stall_s} is not a number of seconds")
+        raise ConfigError(
+            "warehouses.stall_s",
+            f"{file.warehouses.stall_s} s must be above 0 and at most {MAX_STALL_TIMEOUT_S} s",
+        )
     if not file.etcd.prefix:
         raise ConfigError("etcd.prefix", "must not be empty")
     return GatewaySettings(
@@ -78,7 +81,7 @@
         upstream_protocol=file.warehouses.protocol,
         stall_timeout_s=file.warehouses.stall_s,
         etcd_endpoints=tuple(
-            parse_listed_address(endpoint, f"etcd.endpoints[{index}]")
+            parse_address_setting(endpoint, f"etcd.endpoints[{index}]")
             for index, endpoint in enumerate(file.etcd.endpoints)
         ),
         etcd_prefix=file.etcd.prefix,
@@ -90,7 +93,7 @@
 ) -> ClickHouseSettings:
     for key, size_mb in (("body_most_mb", table.max_body_mb), ("bodies_most_mb", table.max_bodies_mb)):
         if not 0 < size_mb <= MAX_BODY_MB:
-            raise ConfigError(f"clickhouse.{key}", f"{size_mb} is not from 1 to {MAX_BODY_MB}")
+            raise ConfigError(f"clickhouse.{key}", f"{size_mb} MB is not between 1 and {MAX_BODY_MB} MB")
     classes = _ClassLookup(class_names, policy)
     rules = tuple(_parse_rule(rule, index, classes) for index, rule in enumerate(table.rules))
     classifier = StatementClassifier(
@@ -100,7 +103,7 @@
         deadlines_s=tuple(request_class.deadline_us / 1e6 for request_class in policy.classes),
     )
     return ClickHouseSettings(
-        listen_address=parse_listed_address(table.listen, "clickhouse.listen", min_port=0),
+        listen_address=parse_address_setting(table.listen, "clickhouse.listen", min_port=0),
         classifier=classifier,
         max_body_bytes=table.max_body_mb << 20,
         max_bodies_bytes=table.max_bodies_mb << 20,
@@ -117,27 +120,31 @@
 
 
 class _ClassLookup:
-    """Finds classes by name, for settings that want one that may, or must not, run twice."""
+    """Looks up classes by name, and checks whether their requests may run twice, as the setting requires."""
 
     def __init__(self, names: tuple[str, ...], policy: PolicySettings) -> None:
         self._names = names
         self._policy = policy
 
     def find_read(self, name: str, key: str) -> int:
-        """Return the index of a class that may run twice."""
+        """Return the index of a class whose requests may run twice."""
         index = self._find(name, key)
         if self._policy.classes[index].idempotency is Idempotency.NOT_IDEMPOTENT:
-            raise ConfigError(key, f"{name!r} is a class that may not run twice; it can't be used here")
+            raise ConfigError(
+                key, f"requests of class {name!r} must not run twice; a class that may run twice is needed"
+            )
         return index
 
     def find_load(self, name: str, key: str) -> int:
-        """Return the index of a class that must not run twice."""
+        """Return the index of a class whose requests must not run twice."""
         index = self._find(name, key)
         if self._policy.classes[index].idempotency is not Idempotency.NOT_IDEMPOTENT:
-            raise ConfigError(key, f"{name!r} is a class that may run twice; it can't be used here")
+            raise ConfigError(
+                key, f"requests of class {name!r} may run twice; a class that must not run twice is needed"
+            )
         return index
 
     def _find(self, name: str, key: str) -> int:
         if name not in self._names:
-            raise ConfigError(key, f"{name!r} is none of the classes {', '.join(self._names)}")
+            raise ConfigError(key, f"{name!r} is not one of the classes {', '.join(self._names)}")
         return self._names.index(name)
--- a/lilacfront/config/loader.py
+++ b/lilacfront/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads all configuration files and checks them together."""
+"""Reads all configuration files and validates them together."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lilacfront.config.addresses import parse_listed_address, parse_peer_addresses
+from lilacfront.config.addresses import parse_address_setting, parse_peer_addresses
 from lilacfront.config.gateway_file import parse_gateway_file
 from lilacfront.config.model import Address, Config, ConfigError
 from lilacfront.config.platform_file import (
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ConfigPaths:
-    """Where the files besides the platform's are; one that is absent turns nothing on."""
+    """Paths of the optional files; what an absent file configures stays off."""
 
     gateway: Path
     teams: Path
@@ -46,14 +46,14 @@
 
 
 def load(paths: ConfigPaths, environment: Mapping[str, str] = os.environ) -> Config:
-    """Read and check all files; `PROXY_CONFIG` in the environment names the platform's.
+    """Read and validate all files; `PROXY_CONFIG` in the environment is the path of the platform file.
 
     Raises:
-        ConfigError: Something can't be used; the error names the file or the key.
+        ConfigError: A file or a value is invalid; the error names the file or the key.
     """
     platform_path = environment.get("PROXY_CONFIG", "")
     if not platform_path:
-        raise ConfigError("PROXY_CONFIG", "not set; it names the configuration file")
+        raise ConfigError("PROXY_CONFIG", "not set; it must be the path of the configuration file")
     try:
         text = Path(platform_path).read_bytes()
     except OSError as error:
@@ -76,16 +76,16 @@
     membership: bytes = b"",
     recovery: bytes = b"",
 ) -> Config:
-    """Check the files' texts; the environment's addresses and name go before those in the platform's file.
+    """Validate the contents of all files; addresses and name in the environment override the platform file.
 
     Raises:
-        ConfigError: Something can't be used; the error names the file or the key.
+        ConfigError: A file or a value is invalid; the error names the file or the key.
     """
     file = decode_platform_file(text)
     policy = _parse_policy(file)
     class_names = parse_class_names(file)
     limits = file.settings.get("policy-limits") or {}
-    membership_parsed = _parse_membership(membership, file)
+    membership_file_settings = _parse_membership(membership, file)
     admin_address = _parse_admin_address(file, environment)
     passed_descriptor = _parse_passed_descriptor(environment)
     has_other_processes = admin_address is not None or passed_descriptor is not None
@@ -95,7 +95,7 @@
         seed=parse_seed(file),
         max_descriptors=file.limits.sockets,
         memory_bytes=file.limits.memory_mb << 20,
-        change_log_address=parse_listed_address(file.changelog, "changelog") if file.changelog else None,
+        change_log_address=parse_address_setting(file.changelog, "changelog") if file.changelog else None,
         cached_events=file.known,
         policy=policy,
         class_names=class_names,
@@ -108,8 +108,8 @@
         teams=_parse_teams(teams, class_names),
         peer_listen_address=_parse_peer_listen_address(file),
         peer_addresses=parse_peer_addresses(file.peers),
-        membership=membership_parsed,
-        peer_keys=_load_peer_keys(membership_parsed),
+        membership=membership_file_settings,
+        peer_keys=_load_peer_keys(membership_file_settings),
         recovery=_parse_recovery(recovery),
         admin_address=admin_address,
         passed_descriptor=passed_descriptor,
@@ -138,26 +138,28 @@
     value = default if limits.get(key) is None else limits[key]
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not minimum <= value < math.inf:
-        raise ConfigError(f"settings.policy-limits.{key}", f"{value!r} is not a number of {minimum} or more")
+        raise ConfigError(
+            f"settings.policy-limits.{key}", f"{value!r} is not a finite number of at least {minimum}"
+        )
     return value
 
 
 def _parse_listen_address(file: PlatformFile, environment: Mapping[str, str]) -> Address:
     if "PROXY_LISTEN" in environment:
-        return parse_listed_address(environment["PROXY_LISTEN"], "PROXY_LISTEN", min_port=0)
-    return parse_listed_address(file.listen, "listen", min_port=0)
+        return parse_address_setting(environment["PROXY_LISTEN"], "PROXY_LISTEN", min_port=0)
+    return parse_address_setting(file.listen, "listen", min_port=0)
 
 
 def _parse_admin_address(file: PlatformFile, environment: Mapping[str, str]) -> Address | None:
     key = "PROXY_ADMIN" if "PROXY_ADMIN" in environment else "admin"
     text = environment.get("PROXY_ADMIN", file.admin)
-    return parse_listed_address(text, key, min_port=0) if text else None
+    return parse_address_setting(text, key, min_port=0) if text else None
 
 
 def _parse_peer_listen_address(file: PlatformFile) -> Address | None:
     if not file.peer_listen:
         return None
-    return parse_listed_address(file.peer_listen, "peer_listen", min_port=0)
+    return parse_address_setting(file.peer_listen, "peer_listen", min_port=0)
 
 
 def _parse_passed_descriptor(environment: Mapping[str, str]) -> int | None:
--- a/lilacfront/config/model.py
+++ b/lilacfront/config/model.py
@@ -1,4 +1,4 @@
-"""The checked configuration: what the program is run with."""
+"""The validated configuration of one process."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class ConfigError(SettingsError):
-    """Configuration that can't be used; the key names the file or the setting in it."""
+    """The configuration is invalid; the key names the file or the setting."""
 
 
 @dataclass(slots=True, frozen=True)
 class ClickHouseSettings:
-    """The frontend that speaks the ClickHouse HTTP interface.
+    """Settings of the frontend for the ClickHouse HTTP interface.
 
     Attributes:
-        listen_address: Where its clients connect.
-        classifier: Gives each statement its class.
-        max_body_bytes: A larger request body is rejected.
-        max_bodies_bytes: The same for all bodies in flight together.
+        listen_address: Address that clients connect to.
+        classifier: Assigns a class to each statement.
+        max_body_bytes: Maximum size of a request body.
+        max_bodies_bytes: Maximum size of all request bodies in flight together.
     """
 
     listen_address: Address
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewaySettings:
-    """The gateway's own file (`deploy/clickhouse.toml`).
+    """Settings of the gateway file (`deploy/clickhouse.toml`).
 
     Attributes:
-        clickhouse: The ClickHouse frontend; None: off.
-        upstream_protocol: What the engines speak.
-        stall_timeout_s: A result that has begun and stands still this long has broken off.
-        etcd_endpoints: Where the endpoint list is watched in place of the change log; empty: not there.
-        etcd_prefix: What the keys of the list begin with.
+        clickhouse: Settings of the ClickHouse frontend; None turns it off.
+        upstream_protocol: Protocol of the engines.
+        stall_timeout_s: A result that has begun is considered broken after this many seconds without data.
+        etcd_endpoints: etcd endpoints to watch for the endpoint list; empty to use the change log.
+        etcd_prefix: Prefix of the keys that make up the endpoint list.
     """
 
     clickhouse: ClickHouseSettings | None
@@ -59,33 +59,33 @@
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """Everything that one process is run with, checked.
+    """All settings of one process, validated.
 
     Attributes:
-        name: The front end's name, shared by all of its processes.
-        listen_address: Where clients of the platform's protocol connect.
-        seed: Of the decisions' and the network code's random draws.
-        max_descriptors: Descriptors that the process may hold.
+        name: Name of the front end, shared by all of its processes.
+        listen_address: Address that clients of the platform's protocol connect to.
+        seed: Seed of the random draws of the router and the network code.
+        max_descriptors: Maximum number of open descriptors.
         memory_bytes: Memory that the process may use.
-        change_log_address: Where the endpoint list is told; None: nowhere.
-        cached_events: The change log up to the start.
-        policy: The settings of the decisions.
-        class_names: By class index.
-        zone_names: By zone number.
-        machine_types: Names, by number.
-        streams_per_connection: Requests that one connection to an engine may carry at once.
-        connect_timeout_s: For a connection to an engine.
-        connection_idle_s: After which an idle connection to an engine is closed.
-        gateway: The gateway's own file.
-        teams: Queues with budgets; None: off.
-        peer_listen_address: Where datagrams of other front ends arrive; None: nowhere.
-        peer_addresses: Of all front ends, by their numbers in the settings.
-        membership: Whether and how the other front ends are followed.
-        peer_keys: Secrets of the peers' datagrams, by key number.
-        recovery: What is stored against a power loss.
-        admin_address: Where operators connect; None: nowhere.
-        passed_descriptor: A listening socket that this process was started with.
-        state_directory: Shared with other processes of this front end; None: there is never another one.
+        change_log_address: Address of the change log, a source of the endpoint list; None if there is none.
+        cached_events: Change log events up to the start of the process.
+        policy: Settings of the router.
+        class_names: Names of the request classes, by class index.
+        zone_names: Names of the zones, by zone number.
+        machine_types: Names of the machine types, by machine type number.
+        streams_per_connection: Maximum number of concurrent requests on one connection to an engine.
+        connect_timeout_s: Timeout for connecting to an engine, in seconds.
+        connection_idle_s: Seconds after which an idle connection to an engine is closed.
+        gateway: Settings of the gateway file.
+        teams: Settings of the team queues and budgets; None turns them off.
+        peer_listen_address: Address that receives datagrams of other front ends; None if there is none.
+        peer_addresses: Addresses of all front ends, by gateway index.
+        membership: Settings of the membership protocol between front ends.
+        peer_keys: Keys that authenticate the peers' datagrams, by key number.
+        recovery: Settings of the recovery after a power loss.
+        admin_address: Address that operators connect to; None if there is none.
+        passed_descriptor: Descriptor of an inherited listening socket; None if there is none.
+        state_directory: Directory shared with other processes of this front end; None if there are none.
     """
 
     name: str
--- a/lilacfront/config/platform_file.py
+++ b/lilacfront/config/platform_file.py
@@ -1,4 +1,4 @@
-"""The platform's file, which `PROXY_CONFIG` names, as it stands."""
+"""Decodes the platform file, whose path is in `PROXY_CONFIG`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ProcessLimits(msgspec.Struct):
-    """`limits`: what one process may use."""
+    """`limits`: resources that one process may use."""
 
     cores: float = 1.0
     memory_mb: int = 192
@@ -37,20 +37,22 @@
 
 
 def decode_platform_file(text: bytes) -> PlatformFile:
-    """Decode the file and check its limits.
+    """Decode the file and validate its limits.
 
     Raises:
-        ConfigError: It can't be used; the error names the key.
+        ConfigError: The file is invalid; the error names the key.
     """
     try:
         file = msgspec.json.decode(text, type=PlatformFile)
     except msgspec.MsgspecError as error:
         raise ConfigError("PROXY_CONFIG", error) from error
     if file.limits.sockets < MIN_DESCRIPTORS:
-        raise ConfigError("limits.sockets", f"{file.limits.sockets} is too few, {MIN_DESCRIPTORS} at least")
+        raise ConfigError(
+            "limits.sockets", f"{file.limits.sockets} is below the minimum of {MIN_DESCRIPTORS}"
+        )
     if file.limits.memory_mb < MIN_MEMORY_MB:
         raise ConfigError(
-            "limits.memory_mb", f"{file.limits.memory_mb} is too little, {MIN_MEMORY_MB} at least"
+            "limits.memory_mb", f"{file.limits.memory_mb} is below the minimum of {MIN_MEMORY_MB}"
         )
     return file
 
@@ -59,7 +61,7 @@
     """Return the seed as a number.
 
     Raises:
-        ConfigError: It is not hexadecimal.
+        ConfigError: The seed is not a hexadecimal number.
     """
     try:
         return int(file.seed, 16)
@@ -75,5 +77,5 @@
     """
     names = tuple(request_class.get("name", "") for request_class in file.settings["classes"])
     if not all(isinstance(name, str) and name for name in names) or len(set(names)) < len(names):
-        raise ConfigError("settings.classes", f"names {names!r} must be given and unique")
+        raise ConfigError("settings.classes", f"class names {names!r} must be non-empty strings and unique")
     return names
--- a/lilacfront/errors.py
+++ b/lilacfront/errors.py
@@ -1,18 +1,18 @@
-"""The errors of this program: every error that one part raises for another derives from `LilacfrontError`."""
+"""Base classes of exceptions; every exception raised across packages derives from `LilacfrontError`."""
 
 from __future__ import annotations
 
 
 class LilacfrontError(Exception):
-    """Base of all errors that are raised on purpose by this program."""
+    """Base class of all exceptions that this program defines."""
 
 
 class SettingsError(LilacfrontError, ValueError):
-    """A setting that can't be used.
+    """A setting is invalid.
 
     Attributes:
-        key: The full name of the setting, such as `membership.period_s`; empty where the whole file is meant.
-        problem: What is wrong with it, without the key.
+        key: Full name of the setting, such as `membership.period_s`; empty if the whole file is invalid.
+        problem: Description of what is wrong, without the key.
     """
 
     def __init__(self, key: str, problem: object) -> None:
--- a/lilacfront/logs.py
+++ b/lilacfront/logs.py
@@ -1,8 +1,7 @@
-"""Structured logging: events with keys and values, on the standard library's `logging`.
+"""Structured logging: events with keys and values, based on the standard library's `logging`.
 
-`log.warning("change log unusable", seq=7, problem=text)` names what happened and hands over its figures,
-so that a reader, or a collector of JSON lines, need not parse sentences. `docs/design/load.md` says why this
-is not structlog.
+`log.warning("change log unusable", seq=7, problem=text)` passes the event name and its values separately, so
+that collectors of JSON lines need not parse sentences. `docs/design/load.md` says why this is not structlog.
 """
 
 from __future__ import annotations
@@ -16,13 +15,13 @@
 
 LogFormat = Literal["console", "json"]
 LEVELS = ("debug", "info", "warning", "error")
-MAX_VALUE_CHARACTERS = 2000  # what peers send must not fill the log
+MAX_VALUE_CHARACTERS = 2000  # bounds the log space that a value sent by a peer can take
 MAX_LINES_PER_PERIOD = 30
 RATE_LIMIT_PERIOD_S = 10.0
 
 
 class Log:
-    """A module's logger. Values of any type are written as text, cut to `MAX_VALUE_CHARACTERS`."""
+    """Logger of one module. Values of any type are written as text of at most `MAX_VALUE_CHARACTERS`."""
 
     __slots__ = ("_logger",)
 
@@ -34,11 +33,11 @@
             self._logger.log(level, event, extra={"fields": fields}, exc_info=failed)
 
     def debug(self, event: str, **fields: object) -> None:
-        """Log an event that only a search for a fault needs."""
+        """Log an event that is only needed for debugging."""
         self._log(logging.DEBUG, event, fields)
 
     def info(self, event: str, **fields: object) -> None:
-        """Log an event of ordinary service."""
+        """Log an event of normal operation."""
         self._log(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
@@ -46,16 +45,16 @@
         self._log(logging.WARNING, event, fields)
 
     def error(self, event: str, **fields: object) -> None:
-        """Log a failure that takes something out of service."""
+        """Log a failure that makes a part of the service unavailable."""
         self._log(logging.ERROR, event, fields)
 
     def exception(self, event: str, **fields: object) -> None:
-        """Log a failure with the traceback of the exception that is being handled."""
+        """Log a failure with the traceback of the exception being handled."""
         self._log(logging.ERROR, event, fields, failed=True)
 
 
 def format_value(value: object) -> str:
-    """Return a value as text, cut to a length; an address, given as host and port, as `host:port`."""
+    """Return a value as text, truncated if too long; a host and port tuple becomes `host:port`."""
     if isinstance(value, tuple) and len(value) == 2 and isinstance(value[1], int):
         value = f"{value[0]}:{value[1]}"
     text = value.decode(errors="replace") if isinstance(value, bytes) else str(value)
@@ -63,14 +62,14 @@
 
 
 class ConsoleFormatter(logging.Formatter):
-    """`WARNING lilacfront.server: event key=value key="value with blanks"`, for a person."""
+    """Formats a record as `WARNING lilacfront.server: event key=value key="value with spaces"`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line, with the traceback below it where there is one."""
+        """Return the line, followed by the traceback if there is one."""
         line = [f"{record.levelname} {record.name}: {record.getMessage()}"]
         for key, value in getattr(record, "fields", {}).items():
             text = format_value(value)
-            # A value that a peer chose must not look like a further line or key.
+            # Quoting prevents a value sent by a peer from looking like another line or key.
             is_plain = text and text.isprintable() and not any(character in text for character in ' "=')
             line.append(f"{key}={text}" if is_plain else f"{key}={msgspec.json.encode(text).decode()}")
         text = " ".join(line)
@@ -78,9 +77,9 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line: `ts` (Unix seconds), `level`, `logger`, `event`, then the event's own keys.
+    """Formats a record as a line of JSON: `ts` (Unix seconds), `level`, `logger`, `event`, the event's keys.
 
-    A key of the event's own that has one of these names is written with an underscore behind it.
+    An underscore is appended to a key of the event that has one of these names.
     """
 
     def format(self, record: logging.LogRecord) -> str:
@@ -100,9 +99,9 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Lets through a number of lines a period: a peer must not be able to fill the log.
+    """Limits the number of lines per period, so that a peer can't fill the log.
 
-    The first line of a period tells in `lines_left_out` how many of the one before were left out.
+    The first line after a period with dropped lines has their number in the key `lines_left_out`.
     """
 
     def __init__(self, max_lines: int = MAX_LINES_PER_PERIOD, period_s: float = RATE_LIMIT_PERIOD_S) -> None:
@@ -114,7 +113,7 @@
         self._dropped = 0
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether the line is written."""
+        """Return whether to write the line."""
         if record.created >= self._period_end:
             if self._dropped:
                 record.fields = {**getattr(record, "fields", {}), "lines_left_out": self._dropped}
@@ -131,7 +130,7 @@
 def configure(
     log_format: LogFormat = "console", level: str = "warning", stream: TextIO | None = None
 ) -> None:
-    """Send the log to `stream`, standard error by default; at `debug` and `info` no line is left out."""
+    """Write the log to `stream`, by default standard error; there is no rate limit at `debug` and `info`."""
     handler = logging.StreamHandler(stream or sys.stderr)
     formatter = ConsoleFormatter() if log_format == "console" else JsonFormatter()
     formatter.converter = time.gmtime
--- a/lilacfront/server/graceful_shutdown.py
+++ b/lilacfront/server/graceful_shutdown.py
@@ -17,9 +17,9 @@
 if TYPE_CHECKING:
     from lilacfront.server.server import Server
 
-GRACE_PERIOD_S = 0.8  # within this time new clients are directed to other processes
-# SIGKILL follows SIGTERM after this delay plus the longest request deadline, bounded by MAX_KILL_DEADLINE_*,
-# at the earliest.
+GRACE_PERIOD_S = 0.8  # after this time clients are routed to other front ends
+# SIGKILL follows SIGTERM no sooner than this delay plus the longest request deadline; a deadline counts only
+# up to the bounds below.
 KILL_DELAY_S = 0.7
 MAX_KILL_DEADLINE_S = 3.0
 MAX_KILL_DEADLINE_WITH_SUCCESSOR_S = 5.0
