--- a/lilacfront/config/loader.py
+++ b/lilacfront/config/loader.py
@@ -101,9 +101,9 @@
         class_names=class_names,
         zone_names=list(file.settings.get("zones") or []),
         machine_types=list(file.settings.get("kinds") or []),
-        streams_per_connection=int(_limit(limits, "streams-per-conn", DEFAULT_STREAMS_PER_CONNECTION)),
-        connect_timeout_s=_limit(limits, "connect-timeout", DEFAULT_CONNECT_TIMEOUT_US) / 1e6,
-        connection_idle_s=_limit(limits, "conn-idle", DEFAULT_CONNECTION_IDLE_US, minimum=0) / 1e6,
+        streams_per_connection=int(_parse_limit(limits, "streams-per-conn", DEFAULT_STREAMS_PER_CONNECTION)),
+        connect_timeout_s=_parse_limit(limits, "connect-timeout", DEFAULT_CONNECT_TIMEOUT_US) / 1e6,
+        connection_idle_s=_parse_limit(limits, "conn-idle", DEFAULT_CONNECTION_IDLE_US, minimum=0) / 1e6,
         gateway=parse_gateway_file(gateway, class_names, policy),
         teams=_parse_teams(teams, class_names),
         peer_listen_address=_parse_peer_listen_address(file),
@@ -134,7 +134,7 @@
     return policy
 
 
-def _limit(limits: Mapping[str, Any], key: str, default: int, minimum: int = 1) -> float:
+def _parse_limit(limits: Mapping[str, Any], key: str, default: int, minimum: int = 1) -> float:
     value = default if limits.get(key) is None else limits[key]
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not minimum <= value < math.inf:
--- a/tests/config/test_loader.py
+++ b/tests/config/test_loader.py
@@ -1,4 +1,4 @@
-"""Loading the configuration and the gateway's file."""
+"""Loading the platform file and the gateway file."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
         (config_text(), '[etcd]\nendpoints = ["http"]', "etcd.endpoints[0]"),
     ],
 )
-def test_error_names_the_faulty_key(text: bytes, gateway: str, key: str) -> None:
+def test_error_names_the_invalid_key(text: bytes, gateway: str, key: str) -> None:
     with pytest.raises(configuration.ConfigError) as caught:
         configuration.parse(text, {}, gateway.encode())
     assert key in str(caught.value)
 
 
-def test_shipped_gateway_file_is_off_as_it_stands() -> None:
+def test_shipped_gateway_file_turns_nothing_on() -> None:
     gateway = configuration.parse(config_text(), {}, SHIPPED_GATEWAY_FILE.read_bytes()).gateway
     assert gateway.clickhouse is None
     assert gateway.upstream_protocol == "resp"
     assert not gateway.etcd_endpoints
 
 
-def test_shipped_gateway_file_is_valid_once_uncommented() -> None:
+def test_shipped_gateway_file_is_valid_when_uncommented() -> None:
     commented = SHIPPED_GATEWAY_FILE.read_text().splitlines()[3:]
     lines = [line.removeprefix("# ") for line in commented if line.startswith("# ")]
     gateway = configuration.parse(config_text(), {}, "\n".join(lines).encode()).gateway
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixed hypothesis profile, so every run gives the same verdict; tests that may fail (KNOWN-RED.txt)."""
+"""A deterministic hypothesis profile, the handling of KNOWN-RED.txt, and the `manual_loop` fixture."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 settings.register_profile("fixed", derandomize=True, deadline=None, max_examples=60, database=None)
 settings.load_profile("fixed")
 
-# The outcomes of the listed tests in this run, by node id.
+# Outcomes in this run of the tests listed in KNOWN-RED.txt, by node id.
 listed_outcomes: dict[str, str] = {}
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark the listed tests, which run as all others do, but whose failures don't fail the run."""
+    """Mark the listed tests as xfail: they run, but their failures don't fail the run."""
     try:
         listed = known_red.read_list(known_red.LIST_FILE)
     except known_red.KnownRedError as error:
@@ -38,7 +38,7 @@
 def _listed_in_this_run(
     config: pytest.Config, listed: list[known_red.KnownRedTest], node_ids: list[str]
 ) -> list[known_red.KnownRedTest]:
-    """The listed tests that must exist; a run of some files can't tell whether tests of others do."""
+    """The listed tests that must be among the collected ones, given the files that this run collects."""
     is_whole_run = not config.args or config.args == config.getini("testpaths")
     if is_whole_run:
         return listed
@@ -60,10 +60,10 @@
 
 @pytest.fixture
 def manual_loop() -> Iterator[ManualLoop]:
-    """A loop on a clock that the test moves; closed after the test."""
-    # Imported here, since the tests of the known-red list run this file without the other helper modules.
+    """A loop on a clock that the test advances; closed after the test."""
+    # Imported here, because tests/test_known_red.py uses this file without the other helper modules.
     from event_loop import ManualLoop
 
-    manual = ManualLoop()
-    yield manual
-    manual.loop.close()
+    manual_loop = ManualLoop()
+    yield manual_loop
+    manual_loop.loop.close()
--- a/tests/core/test_attempt_results.py
+++ b/tests/core/test_attempt_results.py
@@ -1,4 +1,4 @@
-"""What the decisions are told of an attempt's outcome."""
+"""The result that is reported to the router for each outcome of an attempt."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         (AttemptEnding.CONNECT_FAILED, DeliveryStage.NOT_CONNECTED, AttemptResult.CONNECT_FAILED),
     ],
 )
-def test_lost_connection_is_a_fault_of_the_engine_only_once_something_was_written(
+def test_lost_connection_counts_as_reset_only_after_a_byte_was_written(
     ending: AttemptEnding, stage: DeliveryStage, result: AttemptResult
 ) -> None:
     assert attempt_result(AttemptOutcome(ending, stage)) is result
--- a/tests/core/test_endpoints.py
+++ b/tests/core/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoint updates, through the server."""
+"""Endpoint updates, passed through the server."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from lilacfront.discovery.endpoint_list import EndpointUpdate
 
 
-def test_no_state_is_left_of_engines_that_are_gone() -> None:
+def test_no_state_is_kept_for_removed_engines() -> None:
     stage = Stage(ThriftResp(), engines=0)
     try:
-        for n in range(100):
+        for number in range(100):
             for state in ("ready", "gone"):
-                entry = {**stage.entry("W1", state), "instanceId": f"s-{n}"}
+                entry = {**stage.entry("W1", state), "instanceId": f"s-{number}"}
                 stage.server.receive_update(msgspec.convert({"instances": [entry]}, EndpointUpdate))
         dispatcher = stage.server.dispatcher
         assert not stage.server.endpoint_feed.registry.addresses
--- a/tests/core/test_pinned_dispatcher.py
+++ b/tests/core/test_pinned_dispatcher.py
@@ -1,7 +1,7 @@
-"""Seeded traffic through the dispatcher: every decision, answer and hook call is held against a digest.
+"""Seeded traffic through the dispatcher: all decisions, answers and hook calls are compared with a digest.
 
-The digests were made by the program as it stood before its modules were taken apart. Requests run in tasks
-of their own on a clock that the test moves, against engines that are models.
+The digests were recorded with the program before its modules were split up. Each request runs in a task of
+its own, on a clock that the test advances, against simulated engines.
 """
 
 from __future__ import annotations
@@ -65,8 +65,8 @@
 )
 
 
-def figures_of(answer: FinalAnswer) -> tuple[object, ...]:
-    """An answer in a form that no class name is part of."""
+def answer_record(answer: FinalAnswer) -> tuple[object, ...]:
+    """An answer as a tuple without class names, so that renaming a class doesn't change the digest."""
     match answer:
         case Rejected():
             return ("rejected", answer.retry_after_ms, answer.wait_range_ms)
@@ -79,7 +79,7 @@
 
 
 class Sink:
-    """A sink for one request; its response starts when the engine model says so."""
+    """A response sink for one request; the simulated engine sets `has_started`."""
 
     def __init__(self) -> None:
         self.has_started = False
@@ -88,14 +88,14 @@
         """Nothing is buffered."""
 
     def start(self, head: object) -> None:
-        """Not used by the engine model."""
+        """Not called by the simulated engine."""
 
     def write(self, data: bytes) -> bool:  # noqa: ARG002 - as in ResponseSink
         return True
 
 
 class Traffic:
-    """Requests, engines, clients that leave and endpoint lists, all drawn from one seed."""
+    """Generates requests, engine responses, client disconnects and endpoint lists from one seed."""
 
     max_connections = 100
 
@@ -157,11 +157,11 @@
             assignment.deadline,
         )
         context.subscribe_priority(lambda priority: self.record("priority", request.body, priority))
-        outcome = self.play_attempt(task, sink, context)
+        outcome = self.simulate_attempt(task, sink, context)
         self.record("ended", request.body, int(outcome.stage), outcome.detail)
         return outcome
 
-    def play_attempt(self, task: Task, sink: ResponseSink, context: AttemptContext) -> AttemptOutcome:
+    def simulate_attempt(self, task: Task, sink: ResponseSink, context: AttemptContext) -> AttemptOutcome:
         self.loop.sleep(task, self.loop.now + self.random.choice((0.0, 0.0, 0.05, 0.3)))
         if task.interrupted:
             return AttemptOutcome(AttemptEnding.CANCELLED, DeliveryStage.CONNECTED)
@@ -188,9 +188,9 @@
         self.open.append(in_flight)
         answer = run_request(self.dispatcher, in_flight, self, Sink())
         self.open.remove(in_flight)
-        figures = figures_of(answer)
-        self.answers[str(figures[0])] = self.answers.get(str(figures[0]), 0) + 1
-        self.record("answer", request.body, figures, self.dispatcher.in_flight_count)
+        recorded = answer_record(answer)
+        self.answers[str(recorded[0])] = self.answers.get(str(recorded[0]), 0) + 1
+        self.record("answer", request.body, recorded, self.dispatcher.in_flight_count)
 
     def submit(self) -> None:
         self.count += 1
@@ -208,7 +208,7 @@
         self.loop.spawn(self.serve, request)
 
     def disconnect(self) -> None:
-        """The client leaves: at once, or noticed only when the attempt asks."""
+        """Disconnect a client; 70 % of disconnects are reported at once, others are found by `may_begin`."""
         if self.open:
             in_flight = self.random.choice(self.open)
             self.connected[in_flight.request.body] = False
@@ -224,8 +224,8 @@
         scope = self.random.choice((ListScope.SNAPSHOT, ListScope.DELTA))
         numbers = self.random.sample(range(1, ENGINES + 1), ENGINES - 1)
         entries = tuple(Endpoint(number, self.random.choice(states)) for number in numbers)
-        moved = self.random.random() < 0.3
-        self.list_endpoints(EndpointList(scope, entries), "moved" if moved else "host")
+        has_moved = self.random.random() < 0.3
+        self.list_endpoints(EndpointList(scope, entries), "moved" if has_moved else "host")
 
     def list_endpoints(self, update: EndpointList, host: str = "host") -> None:
         addresses = {number: (host, 9000 + number) for number in range(1, ENGINES + 1)}
@@ -237,8 +237,8 @@
         self.list_endpoints(EndpointList(ListScope.SNAPSHOT, entries))
         events = (self.submit, self.disconnect, self.expire, self.update_endpoints)
         for step in range(STEPS):
-            burst = (40, 3, 1, 1) if step % 300 < 100 else (12, 3, 1, 1)
-            self.random.choices(events, burst)[0]()
+            weights = (40, 3, 1, 1) if step % 300 < 100 else (12, 3, 1, 1)
+            self.random.choices(events, weights)[0]()
             for _ in range(self.random.randrange(4)):
                 self.manual_loop.clock.now += self.random.choice((0.001, 0.05, 0.4))
                 self.loop.turn(0)
@@ -249,7 +249,7 @@
         return self.digest.hexdigest()
 
 
-# By seed, with teams, with an admission policy.
+# Digests by (seed, with_teams, with_policy).
 DIGESTS = {
     (1, False, False): "3a1a461488fbfc7402e6d599ec69ad67bad1a16203a52fa5bb17e8aba757e0cd",
     (2, False, True): "32d2fcd631bf09bd407648a2542092de4a28ba163561746b60e567cd48c6794c",
@@ -263,7 +263,7 @@
 @pytest.mark.parametrize(
     ("seed", "with_teams", "with_policy", "digest"), [(*case, digest) for case, digest in DIGESTS.items()]
 )
-def test_every_answer_is_as_recorded(
+def test_traffic_matches_the_recorded_digest(
     manual_loop: ManualLoop, seed: int, with_teams: bool, with_policy: bool, digest: str
 ) -> None:
     traffic = Traffic(manual_loop, seed, with_teams, with_policy)
--- a/tests/core/test_statement.py
+++ b/tests/core/test_statement.py
@@ -1,4 +1,4 @@
-"""Properties of statements: the table group, and whether they only read."""
+"""Properties of SQL statements: the table group, and whether a statement only reads."""
 
 from __future__ import annotations
 
@@ -47,15 +47,15 @@
         (b"", 0),
     ],
 )
-def test_table_group_is_the_number_of_the_first_schema_that_has_one(statement: bytes, group: int) -> None:
+def test_table_group_is_the_number_of_the_first_numbered_schema(statement: bytes, group: int) -> None:
     assert table_group(statement) == group
 
 
 @pytest.mark.parametrize("statement", READS)
-def test_statement_that_provably_reads_is_a_read(statement: bytes) -> None:
+def test_statement_that_provably_only_reads_is_a_read(statement: bytes) -> None:
     assert is_read(statement)
 
 
 @pytest.mark.parametrize("statement", NOT_PROVABLY_READS)
-def test_statement_that_does_not_provably_read_is_no_read(statement: bytes) -> None:
+def test_other_statement_is_not_a_read(statement: bytes) -> None:
     assert not is_read(statement)
--- a/tests/decisions/test_attempt_evaluation.py
+++ b/tests/decisions/test_attempt_evaluation.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from helpers import (
-    COLD_RULES,
     SECOND_US,
+    SLOW_START_RULES,
     end_attempt,
     endpoints,
     forwards,
@@ -39,7 +39,7 @@
     ratios = []
     for started in (0, 60 * SECOND_US):
         now = 60 * SECOND_US
-        router = make_router(policy_settings(rules=COLD_RULES), endpoints(1, started_us=started), now)
+        router = make_router(policy_settings(rules=SLOW_START_RULES), endpoints(1, started_us=started), now)
         for n in range(10):
             (send,) = forwards(receive_request(router, now, n))
             now += 300_000  # over the ceiling of a warm engine; a cold one has a third of its speed
--- a/tests/decisions/test_pooled_limit.py
+++ b/tests/decisions/test_pooled_limit.py
@@ -6,10 +6,10 @@
 
 import pytest
 from helpers import (
-    COLD_RULES,
     LONG,
     SECOND_US,
     SHORT,
+    SLOW_START_RULES,
     end_attempt,
     endpoints,
     forwards,
@@ -76,7 +76,7 @@
 
 def test_cores_of_warming_engines_count_by_the_capacity_that_they_have() -> None:
     born = 100 * SECOND_US
-    router = make_routers(200, endpoints(10), SHORT, rules=COLD_RULES)[0]
+    router = make_routers(200, endpoints(10), SHORT, rules=SLOW_START_RULES)[0]
     warm = router.pooled_limit.concurrency.limit
     router.handle(born, EndpointList(ListScope.DELTA, endpoints(10, started_us=born)[5:]))
     assert abs(router.pooled_limit.concurrency.limit - 0.65 * warm) < 1e-6  # five at 1, five at 0.3
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from helpers import (
-    COLD_RULES,
     SECOND_US,
     SHORT,
+    SLOW_START_RULES,
     end_attempt,
     endpoints,
     forwards,
@@ -30,8 +30,8 @@
 
 def test_a_warming_engine_gets_only_the_gateways_share_of_its_budget() -> None:
     now = 100 * SECOND_US
-    warm = make_router(policy_settings(rules=COLD_RULES), endpoints(1), now)
-    cold = make_router(policy_settings(rules=COLD_RULES), endpoints(1, started_us=now), now)
+    warm = make_router(policy_settings(rules=SLOW_START_RULES), endpoints(1), now)
+    cold = make_router(policy_settings(rules=SLOW_START_RULES), endpoints(1, started_us=now), now)
     assert len([1 for n in range(12) if forwards(receive_request(warm, now, n))]) == 12
     gone = len([1 for n in range(12) if forwards(receive_request(cold, now, n))])
     budget = (
@@ -45,7 +45,7 @@
 
     def room(crowded: int) -> int:
         now, born = 60 * SECOND_US, 200 * SECOND_US
-        router = make_router(policy_settings(rules=COLD_RULES), endpoints(1), now)
+        router = make_router(policy_settings(rules=SLOW_START_RULES), endpoints(1), now)
         for n in range(30 + crowded):
             (send,) = forwards(receive_request(router, now, 1000 + n))
             now += 100_000 if n < 30 or n % 2 else 1_500_000
@@ -70,7 +70,7 @@
     fleet_now = (replace(endpoints(1)[0], started_us=born), *endpoints(12)[1:])
     routers = [
         make_router(
-            policy_settings(SHORT, gateway_count=200, gateway_index=n, rules=COLD_RULES),
+            policy_settings(SHORT, gateway_count=200, gateway_index=n, rules=SLOW_START_RULES),
             endpoints(12),
             born - 10 * SECOND_US,
         )
@@ -99,7 +99,7 @@
     born = 100 * SECOND_US
     fleet_now = (replace(endpoints(1)[0], started_us=born), *endpoints(12)[1:])
     sent_there = 0
-    for router in make_routers(200, fleet_now, SHORT, rules=COLD_RULES):
+    for router in make_routers(200, fleet_now, SHORT, rules=SLOW_START_RULES):
         router.state.class_estimates[0].work_us = 200_000.0
         for number, engine in router.state.engines.items():
             router.loads.record(engine, 0.6 if number == 1 else 0.5)
@@ -117,13 +117,13 @@
     born = 100 * SECOND_US
     cold = (replace(endpoints(1)[0], started_us=born),)
     config = [
-        policy_settings(SHORT, gateway_count=200, gateway_index=n, rules=COLD_RULES) for n in range(200)
+        policy_settings(SHORT, gateway_count=200, gateway_index=n, rules=SLOW_START_RULES) for n in range(200)
     ]
 
     def may(started: int, at: int) -> list[bool]:
         return [bool(forwards(receive_request(make_router(c, cold, started), at, 1))) for c in config]
 
-    span = COLD_RULES.overload_window_us + 500_000  # windows follow each other from 0 on
+    span = SLOW_START_RULES.overload_window_us + 500_000  # windows follow each other from 0 on
     assert born % span == 0
     assert 0 < sum(may(born, born + SECOND_US)) < 20
     assert not any(may(born + SECOND_US, born + SECOND_US + 100_000))
@@ -135,12 +135,12 @@
 def test_an_attempt_delayed_past_the_end_of_its_window_begins_only_in_the_gateways_turn() -> None:
     """Its connection came up late; beside what others send in the next window it would be too much."""
     born = 100 * SECOND_US
-    span = COLD_RULES.overload_window_us + 500_000
+    span = SLOW_START_RULES.overload_window_us + 500_000
     cold = (replace(endpoints(1)[0], started_us=born),)
     held = begun = 0
     for slot in range(200):
         router = make_router(
-            policy_settings(SHORT, gateway_count=200, gateway_index=slot, rules=COLD_RULES),
+            policy_settings(SHORT, gateway_count=200, gateway_index=slot, rules=SLOW_START_RULES),
             cold,
             born - 10 * SECOND_US,
         )
@@ -148,7 +148,7 @@
             continue
         assert router.may_begin(born + span - 50_000, 1)
         fresh = make_router(
-            policy_settings(SHORT, gateway_count=200, gateway_index=slot, rules=COLD_RULES),
+            policy_settings(SHORT, gateway_count=200, gateway_index=slot, rules=SLOW_START_RULES),
             cold,
             born - 10 * SECOND_US,
         )
--- a/tests/server/test_large_fleet.py
+++ b/tests/server/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""A thousand warehouses and front ends, within the smallest limits that a deployment names."""
+"""Memory use with 1024 warehouses and front ends, under the smallest memory limit of a deployment."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 FLEET_SIZE = 1024
 REQUESTS = 400
-# Half of the smallest memory limit, less what the interpreter and the libraries take by themselves.
-MAX_HELD_BYTES = 6 << 20
+# Half of the smallest memory limit, minus the memory of the interpreter and the libraries.
+MAX_CURRENT_BYTES = 6 << 20
 MAX_PEAK_BYTES = 8 << 20
 
 
-def warehouse(number: int, **changes: Any) -> dict[str, Any]:
+def warehouse_entry(number: int, **changes: Any) -> dict[str, Any]:
     """An entry of the endpoint list."""
     return {
         "instanceId": f"s-{number:08x}",
@@ -40,8 +40,12 @@
 
 
 def config_json() -> bytes:
-    """A configuration that names a thousand warehouses and peers."""
-    fleet = {"generation": 1, "reset": True, "instances": [warehouse(n) for n in range(FLEET_SIZE)]}
+    """A configuration with FLEET_SIZE warehouses and peers."""
+    fleet = {
+        "generation": 1,
+        "reset": True,
+        "instances": [warehouse_entry(number) for number in range(FLEET_SIZE)],
+    }
     limits = {"most-tries": 5, "cancel": True, "may-tell": True}
     config = {
         "name": "n1",
@@ -49,7 +53,7 @@
         "seed": "a1",
         "limits": {"cores": 0.5, "memory_mb": 32, "sockets": 256},
         "peer_listen": "127.0.0.1:0",
-        "peers": [f"10.8.{n >> 8}.{n & 255}:7946" for n in range(FLEET_SIZE)],
+        "peers": [f"10.8.{number >> 8}.{number & 255}:7946" for number in range(FLEET_SIZE)],
         "known": {"seq": 1, "results": [{"seq": 1, "fleet": fleet}]},
         "settings": {**SETTINGS, "instances": FLEET_SIZE, "slot-no": 7, "policy-limits": limits},
     }
@@ -57,7 +61,7 @@
 
 
 def engines_used(router: RequestRouter, requests: int) -> set[int]:
-    """Route requests of different table groups, each answered at once; returns the engines used."""
+    """Route requests of different table groups, end each at once, and return the engines used."""
     engines = set()
     start_us = router.state.now_us + 1_000_000
     for number in range(requests):
@@ -72,8 +76,8 @@
     return engines
 
 
-def test_a_thousand_warehouses_and_peers_fit_in_the_smallest_memory_limit() -> None:
-    """The list is read, used, changed and read again."""
+def test_large_fleet_fits_in_the_smallest_memory_limit() -> None:
+    """Load the list, route requests, apply an update, and reload the configuration."""
     text = config_json()
     loop = Loop(Clock())
     tracemalloc.start()
@@ -84,12 +88,12 @@
     assert len(config.peer_addresses) == FLEET_SIZE
     assert router.state.is_pooled
     assert len(engines_used(router, REQUESTS)) > 200
-    changes = [warehouse(number, lifecycle="draining") for number in range(0, FLEET_SIZE, 2)]
+    changes = [warehouse_entry(number, lifecycle="draining") for number in range(0, FLEET_SIZE, 2)]
     server.receive_update(msgspec.convert({"instances": changes}, EndpointUpdate))
     assert len(router.state.present_engines) == FLEET_SIZE // 2
     server.reload_config()
-    held, peak = tracemalloc.get_traced_memory()
+    current_bytes, peak_bytes = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert held < MAX_HELD_BYTES
-    assert peak < MAX_PEAK_BYTES
+    assert current_bytes < MAX_CURRENT_BYTES
+    assert peak_bytes < MAX_PEAK_BYTES
     server.close()
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The packages of the serving path import downwards only, in the order of docs/architecture.md."""
+"""Packages of the serving path import only packages below them in the table of docs/architecture.md."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "lilacfront"
-# Modules that every package may use.
-COMMON = {"errors", "logs"}
+# Modules that every package may import.
+COMMON_MODULES = {"errors", "logs"}
 
 
 def documented_packages() -> list[str]:
-    """The packages, from the top, as the table of the architecture page lists them."""
+    """The packages in the table of the architecture page, from top to bottom."""
     page = (ROOT / "docs" / "architecture.md").read_text()
     table = page[page.index("## Packages") : page.index("`decisions` is entered")]
     return re.findall(r"^\| `(\w+)` \|", table, re.MULTILINE)
 
 
 def imported_packages(path: Path) -> Iterator[str]:
-    """The packages of this program that a module imports when it runs."""
+    """The lilacfront packages that a module imports, apart from imports for type checking only."""
     tree = ast.parse(path.read_text())
     for node in ast.walk(tree):
         if isinstance(node, ast.If) and ast.unparse(node.test) == "TYPE_CHECKING":
@@ -33,20 +33,20 @@
             yield node.module.split(".")[1]
 
 
-def test_every_package_of_the_serving_path_is_on_the_page() -> None:
-    off_path = {"lab", "load", "experiments", "simulator"}
+def test_architecture_page_lists_every_package_of_the_serving_path() -> None:
+    not_on_serving_path = {"lab", "load", "experiments", "simulator"}
     packages = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
-    assert set(documented_packages()) == packages - off_path
+    assert set(documented_packages()) == packages - not_on_serving_path
 
 
 @pytest.mark.parametrize("package", documented_packages())
-def test_a_package_imports_only_what_stands_below_it(package: str) -> None:
-    order = documented_packages()
-    below = {package, *order[order.index(package) + 1 :], *COMMON}
-    upward = {
+def test_package_imports_only_packages_below_it(package: str) -> None:
+    packages = documented_packages()
+    allowed = {package, *packages[packages.index(package) + 1 :], *COMMON_MODULES}
+    forbidden = {
         f"{path.relative_to(ROOT)}: {imported}"
         for path in (PACKAGE / package).rglob("*.py")
         for imported in imported_packages(path)
-        if imported not in below
+        if imported not in allowed
     }
-    assert not upward
+    assert not forbidden, f"{package} must not import: {sorted(forbidden)}"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, and the program as a process."""
+"""The command line, and the program running as a process."""
 
 from __future__ import annotations
 
@@ -22,30 +22,30 @@
 
 @pytest.fixture
 def config_path(tmp_path: Path) -> Path:
-    """A usable configuration file that has the system choose the port."""
+    """A valid configuration file; port 0 makes the system choose the port."""
     path = tmp_path / "config.json"
     path.write_bytes(config_text(listen="127.0.0.1:0"))
     return path
 
 
-def test_version_is_shown() -> None:
+def test_version_succeeds() -> None:
     assert CliRunner().invoke(main, ["version"]).exit_code == 0
 
 
-def test_check_config_names_the_variable_of_a_missing_file(tmp_path: Path) -> None:
+def test_check_config_names_the_environment_variable_of_a_missing_file(tmp_path: Path) -> None:
     result = CliRunner().invoke(main, ["check-config"], env={"PROXY_CONFIG": str(tmp_path / "none")})
     assert result.exit_code == 2
     assert "PROXY_CONFIG" in result.output
 
 
-def test_check_config_accepts_a_usable_file(tmp_path: Path) -> None:
+def test_check_config_accepts_a_valid_file(tmp_path: Path) -> None:
     (tmp_path / "config.json").write_bytes(config_text())
     result = CliRunner().invoke(main, ["check-config"], env={"PROXY_CONFIG": str(tmp_path / "config.json")})
     assert result.exit_code == 0
     assert "3 classes" in result.output
 
 
-def test_program_serves_reloads_its_configuration_and_ends_after_sigterm(config_path: Path) -> None:
+def test_process_serves_reloads_on_sighup_and_exits_after_sigterm(config_path: Path) -> None:
     command = [sys.executable, "-m", "lilacfront", "serve"]
     environment = {**os.environ, "PROXY_CONFIG": str(config_path)}
     with subprocess.Popen(command, env=environment, stderr=subprocess.PIPE) as program:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The server: free memory, and health during the start."""
+"""The server: release of free memory, and health while it starts."""
 
 from __future__ import annotations
 
@@ -9,46 +9,46 @@
 
 from lilacfront.server import memory
 
-UNREACHABLE_LOG: dict[str, Any] = {"changelog": "127.0.0.1:1"}
+UNREACHABLE_CHANGE_LOG: dict[str, Any] = {"changelog": "127.0.0.1:1"}
 
 
-def test_free_pages_are_returned_to_the_system_every_few_seconds(monkeypatch: pytest.MonkeyPatch) -> None:
-    calls: list[float] = []
+def test_free_memory_is_released_periodically(monkeypatch: pytest.MonkeyPatch) -> None:
+    released_at: list[float] = []
     stage = Stage(ThriftResp(), engines=0)
-    monkeypatch.setattr(memory, "release_free_memory", lambda: calls.append(stage.clock.now))
+    monkeypatch.setattr(memory, "release_free_memory", lambda: released_at.append(stage.clock.now))
     try:
         stage.wait(11)
-        assert len(calls) == 2
+        assert len(released_at) == 2
     finally:
         stage.close()
     monkeypatch.undo()
-    memory.release_free_memory()  # works wherever the tests run, whatever the C library
+    memory.release_free_memory()  # must not fail with any C library
 
 
 @pytest.mark.parametrize(
     ("data", "after_s", "is_healthy"),
     [
         (b"", 0.1, False),
-        (b"", 0.3, True),  # nothing was missed
-        (b"1\n", 0.01, True),  # nor here, as the log itself says
-        (b'{"seq":2,"fleet":{"instances":[]}}\n', 0.01, False),  # more may follow
+        (b"", 0.3, True),  # 0.3 s without an event: nothing was missed
+        (b"1\n", 0.01, True),  # the change log reports that event 1, the last cached one, is its latest
+        (b'{"seq":2,"fleet":{"instances":[]}}\n', 0.01, False),  # more events may follow
         (None, 0.9, False),
-        (None, 1.1, True),  # a log that can't be reached is not waited for for ever
+        (None, 1.1, True),  # the wait for an unreachable change log is limited
     ],
 )
-def test_ping_is_healthy_once_the_change_log_of_the_start_has_been_read(
+def test_server_is_healthy_once_it_has_caught_up_with_the_change_log(
     data: bytes | None, after_s: float, is_healthy: bool
 ) -> None:
-    stage = Stage(ThriftResp(), fresh=True, **(UNREACHABLE_LOG if data is None else {}))
+    stage = Stage(ThriftResp(), fresh=True, **(UNREACHABLE_CHANGE_LOG if data is None else {}))
     try:
-        log = stage.actors["L"]
+        change_log = stage.actors["L"]
         for _ in range(20):
             stage.turn()
         assert not stage.server.operations.is_healthy()
         if data is not None:
-            assert log.connection is not None
-            assert log.received == b"since 1\n"
-            log.connection.sendall(data)
+            assert change_log.connection is not None
+            assert change_log.received == b"since 1\n"
+            change_log.connection.sendall(data)
         stage.wait(after_s)
         assert stage.server.operations.is_healthy() is is_healthy
     finally:
