--- a/lilacfront/core/action_executor.py
+++ b/lilacfront/core/action_executor.py
@@ -1,4 +1,4 @@
-"""Feeds events to the router and carries out the actions that it returns."""
+"""Passes events to the router and executes the actions that it returns."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
     """Passes events to one gateway's router and executes the actions that it returns.
 
     Attributes:
-        peer_transport: Sends the router's messages to other gateways; None where gossip is off.
-        admission_policy: Restricts admission during recovery; None where recovery is off.
+        peer_transport: Sends the router's messages to other gateways; None if gossip is off.
+        admission_policy: Restricts admission during recovery; None if recovery is off.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
             self._execute(action)
 
     def route(self, in_flight: InFlightRequest) -> None:
-        """Hand a request to the router."""
+        """Pass a request to the router, with the time left until its deadline."""
         request = in_flight.request
         in_flight.in_team_queue = False
         time_left_us = max(0, int((request.deadline - self._loop.now) * 1e6))
--- a/lilacfront/core/dispatcher.py
+++ b/lilacfront/core/dispatcher.py
@@ -137,7 +137,7 @@
 
     # ---- request lifecycle --------------------------------------------------------------------------
     def submit(self, request: Request, task: Task) -> InFlightRequest:
-        """Register a request from a front end and pass it on; `next_decision` returns the decisions on it."""
+        """Register a request from a frontend and queue or route it; see `next_decision`."""
         in_flight = InFlightRequest(self, next(self._numbers), request, task)
         self._requests[in_flight.number] = in_flight
         request_log.received(in_flight, self._loop.now)
@@ -164,10 +164,10 @@
         return decision
 
     def _wait_for_decision(self, in_flight: InFlightRequest) -> RoutingDecision:
-        until = in_flight.request.deadline + DEADLINE_GRACE_S
+        wait_end = in_flight.request.deadline + DEADLINE_GRACE_S
         in_flight.is_waiting = True
         while in_flight.decision is None:
-            if self._loop.wait(in_flight.task, until) is None:
+            if self._loop.wait(in_flight.task, wait_end) is None:
                 continue
             if in_flight.task.interrupted:
                 in_flight.task.settle()  # the interruption was for an attempt that has already ended
--- a/lilacfront/core/model.py
+++ b/lilacfront/core/model.py
@@ -39,7 +39,7 @@
     CONNECTION_LOST = "connection lost"  # also used if the response can't be parsed
     TIMED_OUT = "timed out"
     CANCELLED = "cancelled"  # by the router or by the client
-    NOT_SENT = "not sent"  # the engine was withdrawn or the deadline passed before the first byte
+    NOT_SENT = "not sent"  # the engine left the endpoint list or the deadline passed before the first byte
 
 
 @dataclass(slots=True, frozen=True)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -49,7 +49,7 @@
 def pytest_runtest_logreport(report: pytest.TestReport) -> None:
     """Record the outcome of a listed test."""
     if report.when == "call" and hasattr(report, "wasxfail"):
-        listed_outcomes[report.nodeid] = "fails" if report.skipped else "PASSES: take it off the list"
+        listed_outcomes[report.nodeid] = "fails" if report.skipped else "PASSES: remove it from the list"
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
