--- a/lilacfront/server/client_listeners.py
+++ b/lilacfront/server/client_listeners.py
@@ -33,7 +33,7 @@
         return any(listener.drain is not None for listener in self.listeners)
 
     def set_accepting(self, accepting: bool) -> None:
-        """Start or stop accepting; meanwhile another process that shares the socket may accept."""
+        """Start or stop accepting; while stopped, other processes that share the socket may accept."""
         for listener in self.listeners:
             listener.is_accepting = accepting
             listener.update_watch()
