--- a/lilacfront/frontends/__init__.py
+++ b/lilacfront/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""What clients speak to."""
+"""Servers of the client protocols: the platform's Thrift service and the ClickHouse HTTP interface."""
--- a/lilacfront/frontends/clickhouse.py
+++ b/lilacfront/frontends/clickhouse.py
@@ -1,4 +1,4 @@
-"""The front end for clients of the ClickHouse HTTP interface, without decisions of its own."""
+"""The front end for clients of the ClickHouse HTTP interface. Routing decisions are made elsewhere."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 from lilacfront.frontends.process_state import HealthSource
 from lilacfront.sched import Loop
 
-MAX_QUEUED_BYTES = 1 << 20  # for a client, beside a body of its request; a result waits far below that
+# Answers queued for a client, in addition to the maximum size of a request body. `StreamedResult` stops
+# reading a result long before this limit.
+MAX_QUEUED_BYTES = 1 << 20
 
 
 class ClickHouseFrontend:
-    """Serves every connection of one listening address."""
+    """Serves all connections of one listening address."""
 
     def __init__(
         self,
--- a/lilacfront/frontends/clickhouse_connection.py
+++ b/lilacfront/frontends/clickhouse_connection.py
@@ -1,4 +1,4 @@
-"""One client connection of the ClickHouse HTTP interface: serves one request after the other."""
+"""One client connection of the ClickHouse HTTP interface, which serves one request after the other."""
 
 from __future__ import annotations
 
@@ -23,14 +23,17 @@
 from lilacfront.sched import Task
 
 log = Log(__name__)
-MIN_BACKOFF_S = 0.1  # after a request that can't be served; doubles each time
+MIN_BACKOFF_S = 0.1  # delay after the first invalid request; doubles with each further one
 MAX_BACKOFF_S = 0.8
-CONNECTED_CHECK_INTERVAL_S = 0.05  # while no more is read
-FINISH_TIMEOUT_S = 1.0  # for the client to take the last answer
+CONNECTED_CHECK_INTERVAL_S = 0.05  # between checks for a disconnect while nothing is read
+FINISH_TIMEOUT_S = 1.0  # time for the client to receive the last answer
 
 
 class ClickHouseConnection:
-    """A connection, from its first byte to its end; `run` is its task, and each request has one, too."""
+    """A client connection from its first byte to its end.
+
+    `run` is the task of the connection; each request runs in another task.
+    """
 
     def __init__(self, services: ClickHouseServices, slot: ClientSlot) -> None:
         self._services = services
@@ -38,22 +41,22 @@
         self._stream = slot.stream
         self._reader = RequestReader(slot, services.bodies)
         self._is_serving = False
-        self._in_flight: InFlightRequest | None = None  # the latest request
+        self._in_flight: InFlightRequest | None = None  # the most recent request
         self._backoff_s = 0.0
         slot.owner = self
 
-    # ---- calls of the slot --------------------------------------------------------------------------
+    # ---- SlotOwner ------------------------------------------------------------------------------------
     def fail_pending(self) -> None:
-        """Answer the request in flight now."""
+        """Answer the request in flight now, without waiting for its result."""
         if self._in_flight is not None:
             self._services.dispatcher.expire(self._in_flight)
 
     def request_transfer(self) -> None:
-        """Connections of this protocol stay with their process."""
+        """Do nothing: connections of this protocol are not transferred."""
 
     # ---- serving ------------------------------------------------------------------------------------
     def run(self, task: Task) -> None:
-        """Read and answer requests for as long as the connection lasts."""
+        """Read and answer requests until the connection ends."""
         keep_alive = True
         try:
             while keep_alive and not self._stream.closed:
@@ -79,7 +82,7 @@
             request = parse_request(http_request, self._services, self._stream.present)
         except InvalidQueryError as error:
             self._stream.write(encode_error(error.status, error.code, error.text, keep_alive, method))
-            # A client that repeats it at once must not take the time of the others.
+            # The delay keeps a client that repeats invalid requests without a pause from starving others.
             self._backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2 * self._backoff_s))
             self._loop.sleep(task, self._loop.now + self._backoff_s)
             return
@@ -98,18 +101,18 @@
             self._stream.write(encode_text(503, b"Leaving.\n", [], keep_alive, method))
 
     def _watch_client(self, task: Task, in_flight: InFlightRequest) -> None:
-        """Until the request is answered, read what comes early and notice if the client disconnects."""
+        """Until the request is answered, read pipelined bytes and cancel it if the client disconnects."""
         while self._is_serving:
-            if self._reader.has_early_capacity:
+            if self._reader.has_pipeline_capacity:
                 data = self._stream.read(task, self._loop.now + IDLE_TIMEOUT_S)
                 if data == b"":
                     self._cancel(in_flight)
                 elif isinstance(data, bytes):
-                    self._reader.add_early(data)
+                    self._reader.add_pipelined(data)
             if self._stream.closed:
                 self._loop.wait(task, self._loop.now + IDLE_TIMEOUT_S)
-            elif not self._reader.has_early_capacity:
-                # Unread bytes hide that the client disconnects: the socket is asked for what is behind them.
+            elif not self._reader.has_pipeline_capacity:
+                # With unread bytes in the socket, a read can't show a disconnect; polling for it can.
                 self._loop.wait(task, self._loop.now + CONNECTED_CHECK_INTERVAL_S)
                 if not self._stream.present():
                     self._cancel(in_flight)
@@ -117,7 +120,7 @@
                 task.settle()
 
     def _cancel(self, in_flight: InFlightRequest) -> None:
-        """Nobody is left to take the answer."""
+        """Cancel the request of a client that has disconnected."""
         self._services.dispatcher.cancel(in_flight)
         self._stream.close()
 
@@ -129,7 +132,7 @@
         try:
             answer = run_request(dispatcher, result.in_flight, self._services.upstream, result)
         except Exception:
-            # After a fault of this program the client still gets its one answer.
+            # The client gets an answer even if this program fails.
             log.exception("request failed unexpectedly")
             dispatcher.abandon(result.in_flight)
             answer = Failed()
@@ -146,7 +149,7 @@
             case Cancelled():
                 self._stream.close()
             case _ if result.has_started:
-                # Without a last chunk the client can tell that the result is not complete.
+                # The missing last chunk tells the client that the result is incomplete.
                 self._stream.end()
             case Rejected():
                 self._stream.write(encode_rejection(answer, result.keep_alive))
--- a/lilacfront/frontends/clickhouse_errors.py
+++ b/lilacfront/frontends/clickhouse_errors.py
@@ -14,7 +14,7 @@
 
 
 class ErrorCode(IntEnum):
-    """ClickHouse's own codes and names."""
+    """The error codes that are used here, as ClickHouse defines them."""
 
     BAD_ARGUMENTS = 36
     NOT_IMPLEMENTED = 48
@@ -29,9 +29,9 @@
     """A request that this front end does not serve.
 
     Attributes:
-        status: Of the HTTP answer.
-        code: Of the error.
-        text: Goes to the client.
+        status: HTTP status of the answer.
+        code: ClickHouse error code of the answer.
+        text: Error text for the client.
     """
 
     def __init__(self, status: int, code: ErrorCode, text: bytes) -> None:
@@ -44,7 +44,7 @@
 def encode_text(
     status: int, text: bytes, headers: http1.Headers, keep_alive: bool, method: bytes = b""
 ) -> bytes:
-    """Return a whole answer; that to HEAD has no body."""
+    """Return a complete answer; the answer to a HEAD request has no body."""
     headers = [*headers, (b"Content-Length", b"%d" % len(text))]
     if not keep_alive:
         headers.append((b"Connection", b"close"))
@@ -59,7 +59,7 @@
     method: bytes = b"",
     extra_headers: http1.Headers | None = None,
 ) -> bytes:
-    """Return an error answer; a text that an engine has formatted keeps its own code."""
+    """Return an error answer; an error text that an engine formatted keeps the engine's code."""
     number = int(code)
     if (match := _CODE.match(text)) is not None:
         number = int(match[1])
@@ -73,7 +73,7 @@
 
 
 def encode_rejection(answer: Rejected, keep_alive: bool) -> bytes:
-    """Return the answer to a request that the decisions rejected."""
+    """Return the answer to a rejected request."""
     retry_after_s = max(1, math.ceil(answer.retry_after_ms / 1000))
     headers = [(b"Retry-After", b"%d" % retry_after_s)]
     if answer.wait_range_ms is not None:
@@ -86,7 +86,7 @@
 
 
 def encode_failure(answer: Failed, keep_alive: bool) -> bytes:
-    """Return the answer to a request that failed."""
+    """Return the answer to a failed request."""
     if answer.is_deadline_exceeded:
         return encode_error(504, ErrorCode.TIMEOUT_EXCEEDED, b"No warehouse answered in time", keep_alive)
     text = answer.detail if _CODE.match(answer.detail) else b"The request failed at its warehouse"
--- a/lilacfront/frontends/clickhouse_reader.py
+++ b/lilacfront/frontends/clickhouse_reader.py
@@ -8,16 +8,16 @@
 from lilacfront.protocols import http1
 from lilacfront.sched import Task, Wait
 
-MAX_EARLY_BYTES = 64 << 10  # of further requests, while one is served
-IDLE_TIMEOUT_S = 30.0
-HEAD_TIMEOUT_S = 2.0  # from connecting, or from the first byte of a head, to its last
-SILENCE_TIMEOUT_S = 2.0  # within a body
-BODY_TIMEOUT_S = 30.0  # from the head to the last byte of the body
+MAX_PIPELINED_BYTES = 64 << 10  # of further requests, read while one is served
+IDLE_TIMEOUT_S = 30.0  # between two requests
+HEAD_TIMEOUT_S = 2.0  # from connecting, or from the first byte of a later head, to the last byte of the head
+BODY_READ_TIMEOUT_S = 2.0  # between two reads of a body
+BODY_TIMEOUT_S = 30.0  # from the end of the head to the last byte of the body
 BODY_TOO_LARGE = "the body is larger than this gateway takes"
 
 
 class RequestReader:
-    """Reads one request after the other, within limits of time and memory."""
+    """Reads one request after the other and enforces the limits on time and memory."""
 
     def __init__(self, slot: ClientSlot, bodies: BodyBudget) -> None:
         self._slot = slot
@@ -26,7 +26,7 @@
         self._bodies = bodies
         self._parser = http1.Parser(responses=False)
         self._parts: list[http1.Part] = []
-        self._early = b""
+        self._pipelined = b""
         self._accounted_bytes = 0
         self._had_request = False
         self._head: http1.Head | None = None
@@ -34,23 +34,23 @@
         self._deadline = 0.0
 
     @property
-    def has_early_capacity(self) -> bool:
-        """Whether more may be read while a request is served."""
-        return len(self._early) < MAX_EARLY_BYTES
+    def has_pipeline_capacity(self) -> bool:
+        """Whether more pipelined bytes may be read while a request is served."""
+        return len(self._pipelined) < MAX_PIPELINED_BYTES
 
-    def add_early(self, data: bytes) -> None:
-        """Keep what was read while a request is served."""
-        self._early += data
+    def add_pipelined(self, data: bytes) -> None:
+        """Keep pipelined bytes that were read while a request is served."""
+        self._pipelined += data
 
     def release_body(self) -> None:
-        """Return the memory of the last request to the budget."""
+        """Return the memory of the last request's body to the budget."""
         self._account(0)
 
     def receive(self, task: Task) -> HttpRequest | None:
-        """Wait for the next whole request; None if there is none.
+        """Wait for the next complete request; None if the connection ends or is idle for too long.
 
         Raises:
-            http1.HttpError: What came can't be served; the connection is of no more use.
+            http1.HttpError: The request can't be read; the connection has to be closed.
         """
         self._head = None
         self._body = bytearray()
@@ -92,13 +92,13 @@
             self._stream.write(http1.CONTINUE)
 
     def _read(self, task: Task) -> bytes:
-        """Return what comes next; empty if the connection ends or is idle for too long."""
-        early, self._early = self._early, b""
-        if early:
-            return early
+        """Return the next bytes; b"" if the connection ends or is idle for too long."""
+        pipelined, self._pipelined = self._pipelined, b""
+        if pipelined:
+            return pipelined
         deadline = self._deadline
         if self._head is not None:
-            deadline = min(deadline, self._loop.now + SILENCE_TIMEOUT_S)
+            deadline = min(deadline, self._loop.now + BODY_READ_TIMEOUT_S)
         data = self._stream.read(task, deadline)
         if not isinstance(data, Wait):
             return data
@@ -111,7 +111,7 @@
         is_partial = not self._parser.is_between_messages
         self._slot.has_partial_message = is_partial
         if self._head is None and is_partial:
-            # A head that comes byte by byte has no more time than one that stops.
+            # The timeout of a head counts from its first byte, so sending it byte by byte gains no time.
             self._deadline = min(self._deadline, self._loop.now + HEAD_TIMEOUT_S)
         self._account(len(self._body) + self._parser.buffered_bytes)
 
--- a/lilacfront/frontends/clickhouse_request_parser.py
+++ b/lilacfront/frontends/clickhouse_request_parser.py
@@ -1,4 +1,4 @@
-"""Turns a request of the ClickHouse HTTP interface into one for the decisions."""
+"""Converts a request of the ClickHouse HTTP interface into a `Request`."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 from lilacfront.frontends.clickhouse_services import ClickHouseServices
 from lilacfront.protocols import http1
 
-DEADLINE_MARGIN_S = 0.012  # for the way of the answer out
-MAX_TABLE_SEARCH_BYTES = 64 << 10  # of a statement
+DEADLINE_MARGIN_S = 0.012  # time for sending the answer
+MAX_TABLE_SEARCH_BYTES = 64 << 10  # start of a statement that is searched for table names
 MAX_TIMEOUT_DIGITS = 9
 UNIQUE_PARAMETERS = (b"query", b"query_id", b"database", b"session_id")
 
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """The target of a request.
+    """The target of an HTTP request.
 
     Attributes:
-        path: Not decoded.
-        parameters: The decoded values of each parameter.
+        path: The path, still percent-encoded.
+        parameters: The decoded values of each query parameter.
     """
 
     path: bytes
@@ -34,7 +34,7 @@
 
     @classmethod
     def parse(cls, target: bytes) -> Target:
-        """Return the target of a request line."""
+        """Parse the target of a request line."""
         path, _, query = target.partition(b"?")
         parameters: dict[bytes, list[bytes]] = {}
         for pair in filter(None, query.split(b"&")):
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HttpRequest:
-    """A whole request as it came."""
+    """A complete HTTP request as received."""
 
     head: http1.Head
     body: bytes
@@ -64,7 +64,7 @@
 
     @property
     def is_ping(self) -> bool:
-        """Whether it asks for the health of this process."""
+        """Whether this is a health check of this process."""
         if self.target.path == b"/ping":
             return True
         reads_root = self.target.path == b"/" and self.head.method in (b"GET", b"HEAD")
@@ -72,7 +72,7 @@
 
     @property
     def user(self) -> bytes:
-        """The user's name, for request classes and teams alone; engines check who it is."""
+        """Name of the user. It only selects the request class and the team; engines authenticate the user."""
         if user := self.head.get(b"x-clickhouse-user"):
             return user
         scheme, _, credentials = self.head.get(b"authorization").partition(b" ")
@@ -85,13 +85,13 @@
 
     @property
     def has_opaque_body(self) -> bool:
-        """Whether the body is not plainly a part of the statement."""
+        """Whether the body is encoded, so that it can't be read as a part of the statement."""
         if self.head.get(b"content-encoding") or b"decompress" in self.target:
             return True
         return self.head.get(b"content-type").lower().startswith(b"multipart/")
 
     def statement(self) -> bytes:
-        """Return the statement, as far as is needed to classify it."""
+        """Return the part of the statement that is needed to classify it."""
         query = self.target.first(b"query")
         if not self.body or self.has_opaque_body:
             return query
@@ -103,10 +103,10 @@
 def parse_request(
     http_request: HttpRequest, services: ClickHouseServices, is_client_connected: Callable[[], bool]
 ) -> Request:
-    """Return the request for the decisions; its deadline counts from now.
+    """Return the `Request` of an HTTP request; its deadline counts from now.
 
     Raises:
-        InvalidQueryError: The request is not served here.
+        InvalidQueryError: The request is invalid or not supported.
     """
     head, target = http_request.head, http_request.target
     _check_form(head, target)
@@ -152,7 +152,7 @@
 
 
 def _timeout_s(target: Target, class_deadline_s: float) -> float:
-    """Return the client's own limit if that is shorter."""
+    """Return the client's `max_execution_time` if it is shorter than the deadline of the class."""
     limit = target.first(b"max_execution_time")
     if limit.isdigit() and 0 < int(limit[:MAX_TIMEOUT_DIGITS]) < class_deadline_s:
         return float(limit[:MAX_TIMEOUT_DIGITS])
@@ -160,7 +160,7 @@
 
 
 def _table_group(statement: bytes, head: http1.Head, target: Target) -> int:
-    """Return the group of the statement's tables, or one for its database."""
+    """Return the table group of the statement, or a group for its database if it names no table."""
     group = table_group(statement[:MAX_TABLE_SEARCH_BYTES])
     if group:
         return group
--- a/lilacfront/frontends/clickhouse_result.py
+++ b/lilacfront/frontends/clickhouse_result.py
@@ -1,4 +1,4 @@
-"""The result of a request on its way to a ClickHouse client: buffered while short, then streamed."""
+"""Sends results to ClickHouse clients: short ones are buffered, longer ones are streamed."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from lilacfront.protocols import http1
 from lilacfront.sched import Stream
 
-MAX_BUFFERED_BYTES = 48_000  # until then another attempt can still take over
-MAX_UNREAD_BYTES = 256 << 10  # queued for the client; beyond it no more of the result is read
+MAX_BUFFERED_BYTES = 48_000  # up to this size nothing is sent, so that a failed attempt can be retried
+MAX_UNREAD_BYTES = 256 << 10  # with more queued for the client, reading of the result pauses
 
 
 class StreamedResult:
@@ -16,7 +16,7 @@
 
     Attributes:
         keep_alive: Whether the connection stays open after the response.
-        has_started: Whether a part has gone to the client.
+        has_started: Whether a part of the result has been sent to the client.
         in_flight: The request; set before the first write.
     """
 
@@ -30,7 +30,7 @@
         self._buffer = bytearray()
 
     def clear(self) -> None:
-        """Forget what is buffered of an attempt that has failed."""
+        """Discard the buffered result of a failed attempt."""
         self._head = None
         self._buffer.clear()
 
@@ -39,7 +39,10 @@
         self._head = about if isinstance(about, http1.Head) else None
 
     def write(self, data: bytes) -> bool:
-        """Take a part of the result, perhaps waiting for the client; False if that can't go on."""
+        """Append a part of the result; return False if the client can't receive the result any more.
+
+        Waits while more than `MAX_UNREAD_BYTES` are queued for the client.
+        """
         if self.has_started:
             self._stream.write(http1.chunk(data))
         else:
@@ -51,7 +54,7 @@
         return self._stream.room(self.in_flight.task, self.in_flight.request.deadline, MAX_UNREAD_BYTES)
 
     def finish(self) -> None:
-        """Write what is left of a complete result."""
+        """Write the rest of a complete result."""
         if self.has_started:
             self._stream.write(http1.LAST_CHUNK)
         else:
--- a/lilacfront/frontends/clickhouse_services.py
+++ b/lilacfront/frontends/clickhouse_services.py
@@ -1,4 +1,4 @@
-"""What all connections of the ClickHouse HTTP interface share."""
+"""Services that all connections of the ClickHouse HTTP interface share."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(slots=True)
 class BodyBudget:
-    """Bounds the memory for request bodies.
+    """Limits the memory for request bodies.
 
     Attributes:
-        max_body_bytes: Of one body.
-        available_bytes: Left for all bodies; negative beyond the bound.
+        max_body_bytes: Limit for one body.
+        available_bytes: What is left of the limit for all bodies; negative once the limit is exceeded.
     """
 
     max_body_bytes: int
@@ -28,15 +28,15 @@
 
 @dataclass(slots=True, frozen=True)
 class ClickHouseServices:
-    """What a connection needs of the rest of the process.
+    """Services of the process that a connection uses.
 
     Attributes:
-        loop: Runs the tasks of the connections.
-        dispatcher: Takes the requests.
-        upstream: Carries attempts to engines.
-        classifier: Chooses the request class.
-        bodies: Bounds the memory for request bodies.
-        health: Answers `/ping`, and ends connections while the process is not healthy.
+        loop: The event loop that runs the tasks of the connections.
+        dispatcher: Decides which engine serves a request.
+        upstream: Sends attempts to engines.
+        classifier: Determines the request class of a statement.
+        bodies: Limits the memory for request bodies.
+        health: Health that `/ping` reports; connections are not kept alive while it is bad.
     """
 
     loop: Loop
@@ -48,5 +48,5 @@
     _call_numbers: Iterator[int] = field(default_factory=lambda: count(1))
 
     def next_call_id(self) -> bytes:
-        """Return an id for a new request, unique in this process."""
+        """Return a new request id that is unique in this process."""
         return b"%016x" % next(self._call_numbers)
--- a/lilacfront/frontends/connection_handover.py
+++ b/lilacfront/frontends/connection_handover.py
@@ -1,7 +1,8 @@
-"""The transfer of client connections between the processes of one front end, as the connections see it.
+"""The connections' side of the transfer of client connections between the processes of one front end.
 
-The process that leaves sends the descriptor of a connection to its successor. Requests in flight stay where
-they are: their answers follow over the channel, and cancellations by the client go back.
+A process that shuts down sends the descriptor of each connection to its successor. It still serves the
+requests in flight: it sends their answers over the transfer channel, and the successor sends it the client's
+cancellations.
 """
 
 from __future__ import annotations
@@ -27,33 +28,33 @@
 
 @dataclass(slots=True, frozen=True)
 class TransferKey:
-    """Names a transferred connection at both of its processes."""
+    """Identifies a transferred connection in both processes."""
 
     channel: TransferChannel
     connection_id: int
 
 
 class TransferredConnection(Protocol):
-    """A connection that has been transferred, from here or to here, with requests in flight."""
+    """A connection that was transferred to or from this process with requests in flight."""
 
     def complete_remote(self, seqid: int, frame: bytes) -> None:
-        """The process from which the connection came has the answer to a request."""
+        """Write the answer of a request that the process the connection came from has served."""
 
     def cancel_transferred(self, seqid: int | None) -> None:
-        """The client needs no answer to a request; None: to none at all."""
+        """Cancel a request that the client no longer waits for; None: cancel all of them."""
 
     def on_other_process_lost(self, key: TransferKey) -> None:
-        """The process at the other end of a transfer is gone."""
+        """Handle the end of the other process of a transfer."""
 
     def fail_pending(self) -> None:
-        """Answer all requests in flight now."""
+        """Answer all requests in flight now, without waiting for their results."""
 
 
 class TransferRegistry:
     """The transferred connections of this process.
 
     Attributes:
-        successor: Where connections are transferred to; None: they stay.
+        successor: Channel to the process that connections are transferred to; None: they are not transferred.
     """
 
     def __init__(self) -> None:
@@ -64,30 +65,30 @@
 
     @property
     def is_pending(self) -> bool:
-        """Whether anything still has to pass between this process and another."""
+        """Whether answers or messages still have to pass between this process and another."""
         unsent = self.successor is not None and self.successor.queued_messages
         return bool(self._connections or unsent)
 
     def next_key(self, successor: TransferChannel) -> TransferKey:
-        """Return a new key for a connection that is transferred now."""
+        """Return a new key for a connection that is about to be transferred."""
         return TransferKey(successor, next(self._connection_ids))
 
     def add(self, key: TransferKey, connection: TransferredConnection) -> None:
-        """Register a connection for messages about it."""
+        """Register a connection to receive the messages about it."""
         self._connections[key] = connection
 
     def remove(self, key: TransferKey) -> None:
-        """Forget a connection of which nothing is in flight between the processes any more."""
+        """Remove a connection about which no more messages are expected."""
         self._connections.pop(key, None)
 
     def count_adopted(self, channel: TransferChannel, pending_requests: int) -> None:
-        """Count and log a connection that came from another process."""
+        """Count and log a connection adopted from another process."""
         adopted = self._adopted_counts.get(channel, 0) + 1
         self._adopted_counts[channel] = adopted
         log.info("client connections adopted", count=adopted, pending_requests=pending_requests)
 
     def on_message(self, channel: TransferChannel, message: AnswerReady | RequestCancelled) -> None:
-        """Hand a message to the connection that it is about, if that still waits for one."""
+        """Pass a message to the connection that it is about, if that is still registered."""
         connection = self._connections.get(TransferKey(channel, message.connection_id))
         if connection is None:
             return
@@ -97,7 +98,7 @@
             connection.cancel_transferred(message.seqid)
 
     def on_channel_closed(self, channel: TransferChannel) -> None:
-        """Tell all connections that were transferred over a channel that it is gone."""
+        """Notify all connections that were transferred over a channel that has closed."""
         if channel is self.successor:
             self.successor = None
         if adopted := self._adopted_counts.pop(channel, 0):
@@ -106,16 +107,18 @@
             self._connections.pop(key).on_other_process_lost(key)
 
     def fail_all(self) -> None:
-        """Answer what is still in flight of transferred connections."""
+        """Fail the requests in flight of all transferred connections."""
         for connection in list(self._connections.values()):
             connection.fail_pending()
 
 
 class ConnectionHandover:
-    """The transfers of one connection.
+    """State of the transfers of one connection.
+
+    A connection may be adopted from one process and later be transferred to another one.
 
     Attributes:
-        is_transferred: Whether another process has the connection now.
+        is_transferred: Whether the connection was transferred to another process.
     """
 
     def __init__(self, registry: TransferRegistry, owner: TransferredConnection, stream: Stream) -> None:
@@ -123,7 +126,8 @@
         self._owner = owner
         self._stream = stream
         self.is_transferred = False
-        # At most one each, and only while requests are in flight at the process that had the connection.
+        # The keys of the transfer to this process and of the transfer away from it. Each is set only while
+        # requests are in flight at the process that sent the connection.
         self._origin: TransferKey | None = None
         self._destination: TransferKey | None = None
 
@@ -131,7 +135,7 @@
         """Whether the connection can be transferred now."""
         if self._registry.successor is None or self.is_transferred or self._stream.closed:
             return False
-        # With bytes queued here, two processes would write.
+        # While bytes are queued here, both processes would write to the socket.
         return not self._stream.queued and partial_bytes <= MAX_PARTIAL_MESSAGE_BYTES
 
     def transfer(
@@ -140,12 +144,12 @@
         """Send the connection to the successor.
 
         Args:
-            frames: Has what has arrived of the next message.
+            frames: The decoder; the partial message in it is sent along.
             pending: Sequence number and id of each request in flight.
-            had_request: Whether any request ever came.
+            had_request: Whether the connection ever had a request.
 
         Returns:
-            False if there is no free descriptor for it now.
+            False if there is no free descriptor for the transfer now.
         """
         successor = self._registry.successor
         assert successor is not None
@@ -154,7 +158,7 @@
         except OSError:
             return False
         key = self._registry.next_key(successor)
-        partial_message = frames.take_incomplete()
+        partial_message = frames.pop_incomplete()
         self.is_transferred = True
         if pending:
             self._destination = key
@@ -163,38 +167,38 @@
         return True
 
     def adopt(self, key: TransferKey) -> None:
-        """Expect answers from the process that had the connection."""
+        """Expect answers from the process that the connection came from."""
         self._origin = key
         self._registry.add(key, self._owner)
 
     def forward_answer(self, seqid: int, frame: bytes) -> bool:
-        """Have the process that has the connection now write an answer; False if that is gone."""
+        """Send an answer to the process that has the connection now; False if that process has ended."""
         if self._destination is None:
             return False
         self._destination.channel.send(AnswerReady(self._destination.connection_id, seqid, frame))
         return True
 
     def cancel_at_origin(self, seqid: int) -> None:
-        """Cancel a request that is in flight at the process that had the connection."""
+        """Cancel a request that is in flight at the process that the connection came from."""
         if self._origin is not None:
             self._origin.channel.send(RequestCancelled(self._origin.connection_id, seqid))
 
-    def release(self, has_remote: bool, has_open: bool) -> None:
-        """Forget the other process once nothing is in flight between the two.
+    def release(self, has_remote_requests: bool, has_open_requests: bool) -> None:
+        """Unregister the transfers for which no more messages are expected.
 
         Args:
-            has_remote: Whether requests are in flight at the process that had the connection.
-            has_open: Whether any requests are in flight.
+            has_remote_requests: Whether requests are in flight at the process the connection came from.
+            has_open_requests: Whether any requests of the connection are in flight.
         """
-        if self._origin is not None and not has_remote:
+        if self._origin is not None and not has_remote_requests:
             self._registry.remove(self._origin)
             self._origin = None
-        if self._destination is not None and not has_open:
+        if self._destination is not None and not has_open_requests:
             self._registry.remove(self._destination)
             self._destination = None
 
     def drop(self, key: TransferKey) -> bool:
-        """Forget a process that is gone; True if it was the one that has the connection now."""
+        """Forget a process that has ended; return whether it was the one that has the connection now."""
         if key == self._destination:
             self._destination = None
             return True
--- a/lilacfront/frontends/deferred_messages.py
+++ b/lilacfront/frontends/deferred_messages.py
@@ -1,4 +1,4 @@
-"""Backoff after bad messages of a client, and the messages that arrive meanwhile."""
+"""Exponential backoff after bad messages of a client, and the queue of messages deferred meanwhile."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @dataclass(slots=True, frozen=True)
 class DeferredMessage:
-    """A message that is handled when the backoff ends.
+    """A message that was received during a backoff.
 
     Attributes:
-        seqid: Sequence number, if the message is a request that gets an answer in any case.
-        frame: The message.
-        received_at: On the loop's clock.
+        seqid: Sequence number of a request; None for any other message. A request is always answered.
+        frame: The encoded message.
+        received_at: Time at which the message was complete, on the loop's clock.
     """
 
     seqid: int | None
@@ -30,12 +30,12 @@
 
 
 class DeferredMessages:
-    """The backoff of one connection and its deferred messages, in the order of their arrival.
+    """The backoff of one connection and its deferred messages, in the order in which they were received.
 
     Attributes:
-        backoff_s: The latest backoff; 0 while the client has sent no bad message.
-        resume_at: When messages are handled again, on the loop's clock.
-        size_bytes: Bytes of all deferred messages.
+        backoff_s: Length of the latest backoff, in seconds; 0 if the client has sent no bad message.
+        resume_at: Time at which the backoff ends, on the loop's clock.
+        size_bytes: Total size of the deferred messages.
     """
 
     def __init__(self, loop: Loop) -> None:
@@ -53,16 +53,16 @@
 
     @property
     def is_paused(self) -> bool:
-        """Whether a message that arrives now is deferred."""
+        """Whether a message received now has to be deferred."""
         return bool(self._messages) or self.resume_at > self._loop.now
 
     @property
-    def is_due(self) -> bool:
-        """Whether there are messages and their backoff has ended."""
+    def can_resume(self) -> bool:
+        """Whether messages are deferred and the backoff has ended."""
         return bool(self._messages) and self.resume_at <= self._loop.now
 
     def back_off(self) -> None:
-        """Begin a backoff after a bad message; it doubles each time."""
+        """Start a backoff after a bad message; its length doubles each time, up to `MAX_BACKOFF_S`."""
         self.backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2 * self.backoff_s))
         self.resume_at = self._loop.now + self.backoff_s
 
@@ -70,7 +70,7 @@
         """Defer a message.
 
         Raises:
-            thrift.ThriftError: There are too many bytes of them.
+            thrift.ThriftError: The deferred messages exceed `MAX_DEFERRED_BYTES`.
         """
         self._messages.append(message)
         self.size_bytes += len(message.frame)
@@ -78,18 +78,18 @@
             raise thrift.ThriftError(f"more than {MAX_DEFERRED_BYTES} bytes of deferred messages")
 
     def remove_request(self, seqid: int) -> None:
-        """Drop the deferred requests with a sequence number."""
+        """Drop the deferred requests with this sequence number."""
         for message in [message for message in self._messages if message.seqid == seqid]:
             self._messages.remove(message)
             self.size_bytes -= len(message.frame)
 
-    def take_all(self) -> list[DeferredMessage]:
-        """Return all messages and forget them."""
+    def pop_all(self) -> list[DeferredMessage]:
+        """Remove all messages and return them."""
         messages = list(self._messages)
         self.clear()
         return messages
 
     def clear(self) -> None:
-        """Forget all messages."""
+        """Remove all messages."""
         self._messages.clear()
         self.size_bytes = 0
--- a/lilacfront/frontends/listener.py
+++ b/lilacfront/frontends/listener.py
@@ -1,4 +1,7 @@
-"""Accepts client connections at one address, up to a limit; at the limit idle connections are closed."""
+"""Accepts client connections at one address, up to a limit.
+
+At the limit an idle connection is evicted for each new one.
+"""
 
 from __future__ import annotations
 
@@ -13,36 +16,38 @@
 
 log = Log(__name__)
 BACKLOG = 512
-SILENCE_TIMEOUT_S = 0.5  # from connecting to the first byte, before others are preferred
-ACCEPT_RETRY_S = 0.1  # after descriptors have run out; one may be free by then
-# Connections that are being closed hold their descriptors until their clients have closed, too. Up to this
-# part of the limit they may do so in addition to it; a sixth of all descriptors is left for that.
+SILENT_CONNECTION_S = 0.5  # a connection without a byte this long after connecting is evicted first
+ACCEPT_RETRY_S = 0.1  # delay of the next accept after descriptors have run out
+# A connection that is being closed keeps its descriptor until its client has closed, too. Such connections do
+# not count towards the connection limit. Their number is limited to the connection limit divided by this; a
+# sixth of all descriptors is reserved for them.
 LINGERING_DIVISOR = 16
 MIN_MAX_LINGERING = 4
 
 
 class SlotOwner(Protocol):
-    """The connection that a slot belongs to."""
+    """The protocol's connection that uses a slot."""
 
     def fail_pending(self) -> None:
-        """Answer all requests in flight now."""
+        """Answer all requests in flight now, without waiting for their results."""
 
     def request_transfer(self) -> None:
-        """Transfer the connection to another process, if possible now."""
+        """Transfer the connection to another process, if that is possible now."""
 
 
 class ClientSlot:
-    """One connection's slot among those of a listener.
+    """The listener's record of one client connection.
 
-    The connection reports when it is busy and when it is idle. It is idle at first.
+    The connection calls `mark_busy` and `mark_idle` as its state changes. It is idle at first. All times are
+    on the loop's clock.
 
     Attributes:
-        stream: The connection.
-        owner: Set by the connection that has requests to fail or can be transferred.
-        connected_at: When it was accepted, on the loop's clock, as are the other times.
-        last_request_at: When its last whole request came; negative without one.
-        last_byte_at: When its last byte came.
-        has_partial_message: Whether a part of a message has come.
+        stream: The byte stream of the connection.
+        owner: The protocol's connection; None until it registers itself.
+        connected_at: Time at which the connection was accepted.
+        last_request_at: Time at which its last request was complete; negative if there was none.
+        last_byte_at: Time at which its last byte was received.
+        has_partial_message: Whether a message has been received in part.
     """
 
     __slots__ = (
@@ -69,7 +74,11 @@
         self.mark_idle(had_request=False)
 
     def mark_idle(self, had_request: bool) -> None:
-        """Nothing is in flight: the connection may be closed for others, first those without a request."""
+        """Record that nothing is in flight, so that the connection may be evicted.
+
+        Args:
+            had_request: Whether the connection ever had a request. One that never had is evicted sooner.
+        """
         self._clear_idle()
         if self.stream.closed:
             return
@@ -78,17 +87,17 @@
         idle[self] = None
         listener.update_watch()
         if listener.drain is not None:
-            # In the next turn: the last answer leaves at the end of this one.
+            # Runs in the next turn of the loop, since the last answer is sent at the end of this turn.
             self.stream.loop.at(self.stream.loop.now, self.apply_drain)
 
     def mark_busy(self) -> None:
-        """A request is complete."""
+        """Record that a complete request has been received."""
         self.last_request_at = self.stream.loop.now
         self._clear_idle()
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is in flight."""
+        """Whether no request is in flight."""
         return self in self._listener.idle_after_request or self in self._listener.idle_without_request
 
     def _clear_idle(self) -> None:
@@ -96,17 +105,17 @@
         self._listener.idle_without_request.pop(self, None)
 
     def fail_pending(self) -> None:
-        """Have the connection answer all requests in flight now."""
+        """Make the connection answer all requests in flight now."""
         if self.owner is not None:
             self.owner.fail_pending()
 
     def request_transfer(self) -> None:
-        """Have the connection transferred to another process, if possible now."""
+        """Make the connection transfer itself to another process, if that is possible now."""
         if self.owner is not None:
             self.owner.request_transfer()
 
     def apply_drain(self) -> None:
-        """Do what the drain, if there is one, wants done with this connection by now."""
+        """Apply the current action of the drain, if there is one, to this connection."""
         drain = self._listener.drain
         if drain is None or self.stream.closed:
             return
@@ -114,19 +123,19 @@
             self.connected_at, self.last_request_at, not self.is_idle, self.has_partial_message
         )
         match drain.decide(self.stream.loop.now, status):
-            # A client may read slowly; its connection closes when its last answer has left.
-            case DrainAction.CLOSE if self.is_quiet:
+            # A slow client gets its last answer in full before the connection is closed.
+            case DrainAction.CLOSE if self.has_no_pending_bytes:
                 self.stream.end()
             case DrainAction.FAIL_PENDING:
                 self.fail_pending()
 
     @property
-    def is_quiet(self) -> bool:
-        """Whether all answers have left and no unread bytes have come."""
+    def has_no_pending_bytes(self) -> bool:
+        """Whether no bytes wait to be sent and no received bytes are unread."""
         return not self.stream.queued and self.stream.quiet()
 
     def _on_end(self) -> None:
-        """The connection is being closed in order; the slot is free once the client has closed, too."""
+        """Handle the start of an orderly close; the slot is freed once the client has closed, too."""
         self._clear_idle()
         self._listener.lingering[self] = None
         self._listener.limit_lingering()
@@ -139,20 +148,20 @@
 
 
 class Listener:
-    """Holds the client connections of one address.
+    """Accepts the client connections of one address and keeps track of them.
 
     Attributes:
-        loop: Runs the connections.
-        max_connections: That are open at once; those being closed come on top.
-        max_queued_bytes: Of answers for a client that does not read.
-        slots: All connections.
-        lingering: Those being closed, the first to begin first.
-        idle_without_request: Those from which no request has come, the oldest first.
-        idle_after_request: Those idle since their last answer, the longest first.
-        drain: The drain of this process, if any.
-        is_accepting: False while connections are left to another process that listens here.
+        loop: The event loop that runs the connections.
+        max_connections: Maximum number of open connections; those being closed do not count.
+        max_queued_bytes: Maximum size of the answers queued for a client that does not read, in bytes.
+        slots: All connections, in the order in which they were accepted.
+        lingering: Connections being closed, in the order in which their close began.
+        idle_without_request: Idle connections that never had a request, the oldest first.
+        idle_after_request: Idle connections that had a request, the longest idle first.
+        drain: The drain of this process, if one is under way.
+        is_accepting: False while another process that shares the socket accepts the new connections.
         sock: The listening socket.
-        address: Where it listens.
+        address: Host and port of the listening socket.
     """
 
     def __init__(
@@ -164,15 +173,15 @@
         accept: Callable[[ClientSlot], None],
         sock: socket.socket | None = None,
     ) -> None:
-        """Listen at once.
+        """Start listening.
 
         Args:
-            loop: Runs the connections.
-            address: Where to listen.
-            max_connections: That are open at once.
-            max_queued_bytes: Of answers for a client that does not read.
+            loop: The event loop that runs the connections.
+            address: Host and port to listen on.
+            max_connections: Maximum number of open connections.
+            max_queued_bytes: Maximum size of the answers queued for a client that does not read, in bytes.
             accept: Called with the slot of each new connection.
-            sock: Listens already and was passed to this process; `address` is ignored then.
+            sock: A listening socket that another process passed to this one; `address` is ignored then.
 
         Raises:
             OSError: The address can't be used.
@@ -192,12 +201,12 @@
         self.address: tuple[str, int] = self.sock.getsockname()
         self._is_watching = False
         self._is_closed = False
-        self._is_pausing = False
+        self._is_accept_paused = False
         self.update_watch()
 
     @property
     def open_count(self) -> int:
-        """Connections that are not being closed."""
+        """Number of connections that are not being closed."""
         return len(self.slots) - len(self.lingering)
 
     @property
@@ -206,31 +215,35 @@
         return self.open_count < self.max_connections or has_idle
 
     def limit_lingering(self) -> None:
-        """Close the longest lingering ones beyond the limit: a client may never close its end."""
+        """Abort the oldest lingering connections beyond the limit.
+
+        Without a limit, clients that never close their side would use up the descriptors.
+        """
         while len(self.lingering) > max(MIN_MAX_LINGERING, self.max_connections // LINGERING_DIVISOR):
             next(iter(self.lingering)).stream.close()
 
     def set_max_connections(self, max_connections: int) -> None:
-        """Change the limit; idle connections beyond it are closed."""
+        """Change the limit and evict idle connections beyond it."""
         self.max_connections = max_connections
         while self.open_count > self.max_connections and self._evict_idle():
             pass
         self.update_watch()
 
     def adopt_connection(self, descriptor: int) -> ClientSlot:
-        """Return a slot for a connection that another process has accepted, regardless of the limit."""
+        """Return a slot for a connection that another process accepted; the limit is not applied."""
         return self._new_slot(socket.socket(fileno=descriptor))
 
     def apply_drain(self) -> None:
-        """Do what the drain, if there is one, wants done with each connection."""
+        """Apply the current action of the drain, if there is one, to each connection."""
         for slot in list(self.slots):
             slot.apply_drain()
 
     def close(self) -> None:
-        """Accept nothing more; connections stay. Calls after the first do nothing."""
+        """Stop listening and keep the open connections. Calls after the first do nothing."""
         if self._is_closed:
             return
-        # What the system has accepted is served; closing would reset it unread.
+        # The kernel may have connections in its accept queue; closing the socket would reset them. They are
+        # accepted first.
         self._on_readable(0)
         self._is_closed = True
         self.update_watch()
@@ -238,20 +251,21 @@
 
     # ---- accepting ----------------------------------------------------------------------------------
     def update_watch(self) -> None:
-        """Watch the socket if a connection can be accepted.
+        """Watch the listening socket while a connection can be accepted, and only then.
 
-        Beyond the limit nothing is accepted, so that descriptors remain for engines.
+        At the limit no connection is accepted, so that descriptors remain for connections to engines.
         """
         may_accept = self._has_capacity and self.is_accepting
-        wanted = may_accept and not self._is_closed and not self._is_pausing
-        if wanted and not self._is_watching:
+        should_watch = may_accept and not self._is_closed and not self._is_accept_paused
+        if should_watch and not self._is_watching:
             self.loop.watch(self.sock.fileno(), select.POLLIN, self._on_readable)
-        elif self._is_watching and not wanted:
+        elif self._is_watching and not should_watch:
             self.loop.unwatch(self.sock.fileno())
-        self._is_watching = wanted
+        self._is_watching = should_watch
 
     def _on_readable(self, _events: int) -> None:
-        # A turn accepts no more than the limit, so that a flood of connections leaves time for others.
+        # One turn of the loop accepts at most `max_connections`, so that a flood of new connections does not
+        # starve the open ones.
         for _ in range(self.max_connections):
             if not (self._has_capacity and self.is_accepting):
                 break
@@ -273,39 +287,43 @@
         return ClientSlot(self, Stream(self.loop, sock, self.max_queued_bytes))
 
     def _pause_accepting(self) -> None:
-        """Descriptors or memory have run out: the socket stays readable, so a retry at once would spin."""
+        """Pause accepting after descriptors or memory have run out.
+
+        The socket stays readable meanwhile, so an immediate retry would make the loop spin.
+        """
         self._evict_idle()
-        self._is_pausing = True
+        self._is_accept_paused = True
         self.loop.at(self.loop.now + ACCEPT_RETRY_S, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
-        self._is_pausing = False
+        self._is_accept_paused = False
         self.update_watch()
 
     # ---- eviction -----------------------------------------------------------------------------------
     def _evict_idle(self) -> bool:
-        """Close one idle connection whose answers have all left; False if there is none."""
+        """Close one idle connection without pending bytes; return False if there is none."""
         for slot in self._eviction_order():
-            if slot.is_quiet:
+            if slot.has_no_pending_bytes:
                 slot.stream.end()
                 return True
         return False
 
     def _eviction_order(self) -> Iterator[ClientSlot]:
-        """Yield idle connections, those least likely to be used first.
+        """Yield idle connections, those least likely to be used again first.
 
-        The silent ones come first; then those that were answered, the longest idle first; then those that are
-        sending a message or have just connected, by their last byte: a client may take long over its request,
-        but goes on sending.
+        1. Connections that have sent nothing since they connected.
+        2. Connections that had a request, the longest idle first.
+        3. Connections that have just connected or are sending their first message, ordered by the time of
+           their last byte: a client may send its request slowly, but does not stop sending.
         """
-        yield from self._silent()
+        yield from self._silent_connections()
         yield from self.idle_after_request
         yield from sorted(self.idle_without_request, key=lambda slot: slot.last_byte_at)
 
-    def _silent(self) -> Iterator[ClientSlot]:
-        """Yield those that have sent nothing for long since they connected, the oldest first."""
+    def _silent_connections(self) -> Iterator[ClientSlot]:
+        """Yield connections that sent nothing for `SILENT_CONNECTION_S` after connecting, oldest first."""
         for slot in self.idle_without_request:
-            if self.loop.now - slot.connected_at < SILENCE_TIMEOUT_S:
+            if self.loop.now - slot.connected_at < SILENT_CONNECTION_S:
                 return
             if not slot.has_partial_message:
                 yield slot
--- a/lilacfront/frontends/partial_messages.py
+++ b/lilacfront/frontends/partial_messages.py
@@ -1,4 +1,4 @@
-"""Bounds the memory that incomplete messages of all clients take together."""
+"""Limits the memory that the incomplete messages of all clients use together."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from lilacfront.logs import Log
 
 log = Log(__name__)
-PARTIAL_MEMORY_DIVISOR = 16  # the part of the memory that may hold incomplete messages
+PARTIAL_MEMORY_DIVISOR = 16  # incomplete messages may use one sixteenth of the memory
 
 
 class PartialMessageBudget:
-    """Accounts for the received bytes of messages that are not complete or not yet handled.
+    """Counts the received bytes of messages that are incomplete or not yet handled.
 
     Attributes:
-        max_bytes: Of all connections together; beyond it the connection with the most bytes is closed.
+        max_bytes: Limit for all connections together; beyond it the connection with the most bytes is closed.
     """
 
     def __init__(self, memory_bytes: int) -> None:
@@ -22,15 +22,15 @@
         self.set_memory(memory_bytes)
 
     def set_memory(self, memory_bytes: int) -> None:
-        """Derive the bound from the memory that this process may use."""
+        """Derive the limit from the memory that this process may use."""
         self.max_bytes = memory_bytes // PARTIAL_MEMORY_DIVISOR
 
-    def held_bytes(self, slot: ClientSlot) -> int:
-        """Bytes that are accounted to a connection."""
+    def accounted_bytes(self, slot: ClientSlot) -> int:
+        """Return the bytes counted for a connection."""
         return self._bytes_by_slot.get(slot, 0)
 
     def account(self, slot: ClientSlot, size: int) -> None:
-        """Set the bytes of a connection; this may close the connection with the most bytes."""
+        """Set the bytes of a connection; beyond the limit, close the connection with the most bytes."""
         self._total_bytes += size - self._bytes_by_slot.pop(slot, 0)
         slot.has_partial_message = size > 0
         if not size:
--- a/lilacfront/frontends/platform.py
+++ b/lilacfront/frontends/platform.py
@@ -1,4 +1,4 @@
-"""The front end for the platform's clients: its Thrift service, without decisions of its own."""
+"""The front end for the platform's clients: the Thrift service. Routing decisions are made elsewhere."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from lilacfront.operations.transfer_messages import ConnectionPassed, Message, StateAnnouncement
 from lilacfront.sched import Loop
 
-MAX_QUEUED_BYTES = 2 << 20  # for a client that does not read
+MAX_QUEUED_BYTES = 2 << 20  # answers queued for a client that does not read
 
 
 class PlatformFrontend:
-    """Serves every connection of one listening address.
+    """Serves all connections of one listening address.
 
     Attributes:
-        partial_messages: Bounds the memory for incomplete messages.
-        transfers: Connections that are transferred between processes.
+        partial_messages: Limits the memory for incomplete messages.
+        transfers: Registry of the connections transferred between processes.
     """
 
     def __init__(
@@ -54,13 +54,13 @@
         self._listener: Listener | None = None
 
     def set_memory(self, memory_bytes: int) -> None:
-        """Bound the memory by what this process may use from now on."""
+        """Set the memory that this process may use, which limits that of incomplete messages."""
         self.partial_messages.set_memory(memory_bytes)
 
     def listen(
         self, address: tuple[str, int], max_connections: int, passed_socket: socket.socket | None = None
     ) -> Listener:
-        """Accept connections at an address, or at a socket that listens already.
+        """Accept connections at an address, or on a listening socket passed by another process.
 
         Raises:
             OSError: The address can't be used.
@@ -74,11 +74,11 @@
         self._services.loop.spawn(PlatformConnection(self._services, slot).run)
 
     def transfer_connections(self, successor: TransferChannel) -> None:
-        """Transfer each connection to another process as soon as possible."""
+        """Transfer each connection to the successor as soon as it can be transferred."""
         self.transfers.successor = successor
 
     def on_message(self, channel: TransferChannel, message: Message, descriptor: int | None) -> None:
-        """Adopt a connection of another process, or handle a message about one."""
+        """Adopt a connection from another process, or handle a message about a transferred one."""
         if isinstance(message, ConnectionPassed):
             assert descriptor is not None
             self._adopt(channel, message, descriptor)
@@ -93,9 +93,9 @@
         self._services.loop.spawn(connection.run)
 
     def on_channel_closed(self, channel: TransferChannel) -> None:
-        """End what depends on another process, which is gone."""
+        """Cancel or fail the requests that depend on a process that has ended."""
         self.transfers.on_channel_closed(channel)
 
     def fail_transferred(self) -> None:
-        """Answer what is still in flight of transferred connections; called at the end of a shutdown."""
+        """Fail the requests in flight of transferred connections; called at the end of a shutdown."""
         self.transfers.fail_all()
--- a/lilacfront/frontends/platform_connection.py
+++ b/lilacfront/frontends/platform_connection.py
@@ -1,4 +1,4 @@
-"""One client connection of the platform's protocol: reads it, transfers it and ends it."""
+"""One client connection of the platform's protocol: reading, transfer to another process, and closing."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 
 log = Log(__name__)
 FIRST_MESSAGE_TIMEOUT_S = 2.6  # from connecting to the last byte of the first message
-# From the first byte of a message to its last. Some clients take 2 s to write theirs; one that never ends is
-# to be closed within 3 s of connecting, which happens `MIN_BACKOFF_S` after this.
+# From the first byte of a message to its last. Some clients take 2 s to write a message. A connection whose
+# first message is never completed has to be closed within 3 s of connecting; it is closed `MIN_BACKOFF_S`
+# after this timeout.
 MESSAGE_TIMEOUT_S = 2.6
-IDLE_TIMEOUT_S = 15.0
-UNREADABLE_GRACE_S = 0.7  # for requests in flight on a connection that can't be read on
-MAX_DROPPED_BYTES = 1 << 20  # read and dropped during that time
+IDLE_TIMEOUT_S = 15.0  # from the last message, with no request in flight
+UNREADABLE_GRACE_S = 0.7  # time for requests in flight to finish after an unreadable message
+MAX_DROPPED_BYTES = 1 << 20  # read and dropped during `UNREADABLE_GRACE_S`
 
 
 class PlatformConnection:
-    """A connection, from its first byte to its end; `run` is its task.
+    """A client connection from its first byte to its end; `run` is its task.
 
-    Reading never pauses, whatever the client has sent: its close, its reset and its `abort` come after
-    everything else, and nothing may begin for a client that is gone.
+    Reading never pauses, not even during a backoff. A close, a reset or an `abort` arrives after all other
+    bytes, and no attempt may begin for a client that has disconnected.
     """
 
     def __init__(self, services: PlatformServices, slot: ClientSlot) -> None:
@@ -39,30 +40,30 @@
         self._deferred = DeferredMessages(services.loop)
         self._requests = ClientRequests(services, slot, self._deferred)
         self._messages = MessageHandler(services, slot, self._requests, self._deferred)
-        self._is_client_gone = False  # nothing more can be sent, so no orderly close is needed
+        self._has_client_closed = False  # the client has closed, so no orderly close is needed
         self._read_deadline = 0.0
-        self._transferable_task: Task | None = None  # reads, and can be interrupted for a transfer
+        self._transferable_task: Task | None = None  # the reading task, while a transfer may interrupt it
         slot.owner = self
 
     def adopt(self, key: TransferKey, passed: ConnectionPassed) -> None:
-        """Continue a connection that comes from another process; called before `run`."""
+        """Take over a connection from another process; called before `run`."""
         self._requests.adopt(key, passed)
         self._frames.feed(passed.partial_message)
         self._account_partial(self._frames.buffered_bytes)
 
-    # ---- calls of the slot --------------------------------------------------------------------------
+    # ---- SlotOwner ------------------------------------------------------------------------------------
     def fail_pending(self) -> None:
-        """Answer all requests in flight now."""
+        """Answer all requests in flight now, without waiting for their results."""
         self._requests.fail_pending()
 
     def request_transfer(self) -> None:
-        """Transfer the connection to the successor, if possible now."""
+        """Interrupt reading to transfer the connection to the successor, if that is possible now."""
         if self._transferable_task is not None and self._can_transfer():
             self._transferable_task.interrupt()
 
     # ---- reading ------------------------------------------------------------------------------------
     def run(self, task: Task) -> None:
-        """Read for as long as the connection lasts."""
+        """Read and handle messages until the connection ends."""
         self._read_deadline = self._loop.now + self._first_read_timeout_s()
         self._transferable_task = task
         try:
@@ -82,7 +83,7 @@
         while not self._stream.closed:
             if self._can_transfer() and self._transfer():
                 return
-            if self._deferred.is_due:
+            if self._deferred.can_resume:
                 self._messages.handle_deferred()
                 self._account_partial(self._frames.buffered_bytes)
             data = self._stream.read(
@@ -96,7 +97,7 @@
                 continue
             self._slot.last_byte_at = self._loop.now
             if data == b"":
-                self._is_client_gone = self._is_client_gone or not self._stream.closed
+                self._has_client_closed = self._has_client_closed or not self._stream.closed
                 return
             if isinstance(data, bytes):
                 self._receive(data)
@@ -104,10 +105,12 @@
                 return
 
     def _is_idle_at_timeout(self) -> bool:
-        """Whether the connection, from which nothing has come for long, has no request in flight.
+        """Handle a read timeout; return whether the connection is idle and has to be closed.
+
+        With requests in flight the timeout is extended instead.
 
         Raises:
-            thrift.ThriftError: It ends within a message.
+            thrift.ThriftError: The timeout passed within a message.
         """
         if self._frames.buffered_bytes:
             raise thrift.ThriftError("message incomplete at its timeout")
@@ -119,7 +122,7 @@
 
     def _receive(self, data: bytes) -> None:
         frames = self._frames.feed(data)
-        # A client that repeats rejected messages at once must not take the time of the others.
+        # Deferral keeps a client that repeats bad messages without a pause from starving other clients.
         is_paused = self._deferred.is_paused
         for frame in frames:
             if is_paused:
@@ -127,8 +130,8 @@
             else:
                 self._messages.handle(frame, self._loop.now)
         self._account_received()
-        # A message that comes byte by byte has no more time than one that stops, and the first message's time
-        # counts from connecting.
+        # The timeout of a message counts from its first byte, so sending it byte by byte gains no time. The
+        # timeout of the first message counts from connecting.
         if frames:
             timeout_s = MESSAGE_TIMEOUT_S if self._frames.buffered_bytes else IDLE_TIMEOUT_S
             self._read_deadline = self._loop.now + timeout_s
@@ -137,15 +140,15 @@
 
     def _account_received(self) -> None:
         size = self._frames.buffered_bytes + self._deferred.size_bytes
-        if size != self._services.partial_messages.held_bytes(self._slot):
+        if size != self._services.partial_messages.accounted_bytes(self._slot):
             self._account_partial(size)
 
     def _account_partial(self, size: int) -> None:
         self._services.partial_messages.account(self._slot, size)
 
     def _finish(self) -> None:
-        if self._is_client_gone or self._requests.handover.is_transferred:
-            # Of a transferred connection the other process has the same socket: no half-close.
+        if self._has_client_closed or self._requests.handover.is_transferred:
+            # The other process uses the same socket after a transfer; a half-close would end it there, too.
             self._stream.close()
         else:
             self._stream.end()
@@ -155,7 +158,10 @@
             self._requests.cancel_all()
 
     def _close_unreadable(self, task: Task) -> None:
-        """Give the requests in flight a while to end, then answer them as failed."""
+        """Wait up to `UNREADABLE_GRACE_S` for the requests in flight, then answer the rest as failed.
+
+        What the client sends meanwhile is dropped.
+        """
         self._requests.reject_deferred()
         self._account_partial(0)
         self._transferable_task = None
@@ -164,10 +170,10 @@
         latest = self._loop.now + UNREADABLE_GRACE_S
         bytes_left = MAX_DROPPED_BYTES
         while bytes_left > 0 and (self._loop.now < earliest or (self._requests and self._loop.now < latest)):
-            # The client may disconnect meanwhile, and nothing may begin for one that has.
+            # Reading detects a disconnect: no attempt may begin for a client that has disconnected.
             data = self._stream.read(task, min(latest, self._loop.now + MIN_BACKOFF_S))
             if data == b"":
-                self._is_client_gone = not self._stream.closed
+                self._has_client_closed = not self._stream.closed
                 return
             bytes_left -= len(data) if isinstance(data, bytes) else 0
         for seqid in self._requests.sequence_numbers():
@@ -176,7 +182,7 @@
 
     # ---- transfer -----------------------------------------------------------------------------------
     def _can_transfer(self) -> bool:
-        # A client that has sent bad messages ends where it is.
+        # The backoff state is not transferred, so a client that sent bad messages stays with this process.
         is_possible = self._requests.handover.is_possible(self._frames.buffered_bytes)
         return is_possible and not self._deferred.backoff_s
 
--- a/lilacfront/frontends/platform_messages.py
+++ b/lilacfront/frontends/platform_messages.py
@@ -1,4 +1,4 @@
-"""Handles the messages of one client of the platform's protocol, and defers them during a backoff."""
+"""Handles the messages of one client of the platform's protocol and defers them during a backoff."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MessageHandler:
-    """Handles each whole message: `invoke`, `abort`, `ping`, and what is none of them."""
+    """Handles each complete message: `invoke`, `abort` and `ping`; any other is rejected."""
 
     def __init__(
         self,
@@ -28,10 +28,10 @@
         self._deferred = deferred
 
     def defer(self, frame: bytes, received_at: float) -> None:
-        """Keep a message for later; an `abort` is handled at once.
+        """Defer a message until the backoff ends; an `abort` is handled immediately.
 
         Raises:
-            thrift.ThriftError: Not even its sequence number can be read, or too much is deferred.
+            thrift.ThriftError: The sequence number can't be read, or too many bytes are deferred.
         """
         message: thrift.Message | None = None
         try:
@@ -48,12 +48,12 @@
         self._deferred.append(DeferredMessage(seqid, frame, received_at))
 
     def handle_deferred(self) -> None:
-        """Handle the deferred messages, in the order of their arrival.
+        """Handle the deferred messages in the order in which they were received.
 
         Raises:
-            thrift.ThriftError: Of one not even the sequence number can be read.
+            thrift.ThriftError: The sequence number of a message can't be read.
         """
-        for message in self._deferred.take_all():
+        for message in self._deferred.pop_all():
             self.handle(message.frame, message.received_at)
         if not self._requests:
             self._slot.mark_idle(self._requests.had_request)
@@ -62,7 +62,7 @@
         """Handle a message.
 
         Raises:
-            thrift.ThriftError: Not even its sequence number can be read.
+            thrift.ThriftError: Its sequence number can't be read.
         """
         try:
             message = thrift.parse_call(frame)
@@ -118,7 +118,8 @@
 
     def _check_sequence_number(self, seqid: int) -> None:
         if seqid in self._requests:
-            # One answer is due for two requests with this number: neither can be told from the other.
+            # The client could not tell which of two requests with this number an answer belongs to, so both
+            # get a single answer: this error.
             self._requests.cancel(seqid)
             self._requests.update_idle()
             raise InvalidInvokeError("this sequence number is open already")
--- a/lilacfront/frontends/platform_request_parser.py
+++ b/lilacfront/frontends/platform_request_parser.py
@@ -1,4 +1,4 @@
-"""Turns an `invoke` of the platform's protocol into a request for the decisions."""
+"""Parses an `invoke` of the platform's protocol into a `Request`."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from lilacfront.protocols import thrift
 
 CALL_ID = re.compile(rb"[0-9A-Fa-f]{16}")
-IDEMPOTENCY_KEY = re.compile(rb"[^\x00-\x20,=\x7f-\xff]{0,64}")  # as it may stand among a command's fields
-MAX_DEADLINE_RATIO = 1.5  # of a client's own deadline to that of the class
-DEADLINE_MARGIN_S = 0.012  # for the way of the request in and of the answer out
+IDEMPOTENCY_KEY = re.compile(rb"[^\x00-\x20,=\x7f-\xff]{0,64}")  # must fit into a RESP field list
+MAX_DEADLINE_RATIO = 1.5  # maximum of the client's own deadline divided by the deadline of the class
+DEADLINE_MARGIN_S = 0.012  # time for receiving the request and sending the answer
 
 
 class InvalidInvokeError(LilacfrontError):
-    """An `invoke` that the protocol does not allow; the message goes to the client."""
+    """An `invoke` that the protocol does not allow; the error text is sent to the client."""
 
 
 def parse_request(
@@ -32,13 +32,13 @@
 
     Args:
         message: The `invoke`.
-        received_at: When it was complete, on the loop's clock.
-        classes: The request classes, by the name that clients give.
+        received_at: Time at which the message was complete, on the loop's clock.
+        classes: The request classes by the names that clients use.
         open_call_ids: Ids of the requests in flight.
         is_client_connected: See `Request`.
 
     Raises:
-        InvalidInvokeError: The request can't be served.
+        InvalidInvokeError: A field or the statement is invalid.
     """
     request_class = classes.get(message.fields.get(b"op", b""))
     if request_class is None:
@@ -47,7 +47,7 @@
     if not CALL_ID.fullmatch(call_id):
         raise InvalidInvokeError("field call is not an id of 16 hex digits")
     if call_id in open_call_ids:
-        # Engines know a request by its id: a second one with the same id would spoil the first.
+        # Engines identify a request by its id, so a second one with the same id would disturb the first.
         raise InvalidInvokeError("this id is open already")
     _check_statement(message.body)
     timeout_s = _timeout_s(message.fields.get(b"ttl"), request_class.deadline_s)
--- a/lilacfront/frontends/platform_requests.py
+++ b/lilacfront/frontends/platform_requests.py
@@ -22,11 +22,11 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that the client has not had an answer to.
+    """A request that has not been answered yet.
 
     Attributes:
         call_id: The client's id of the request.
-        in_flight: None if the dispatcher does not have it yet, or if it is in flight at another process.
+        in_flight: The dispatcher's request; None before it is submitted or if another process serves it.
     """
 
     call_id: bytes
@@ -38,7 +38,7 @@
 
     Attributes:
         had_request: Whether any request ever came.
-        handover: The transfers of the connection.
+        handover: The connection's transfers between processes.
     """
 
     def __init__(self, services: PlatformServices, slot: ClientSlot, deferred: DeferredMessages) -> None:
@@ -47,7 +47,7 @@
         self._stream = slot.stream
         self._deferred = deferred
         self._open: dict[int, OpenRequest] = {}
-        self._remote: set[int] = set()  # in flight at the process from which the connection came
+        self._remote_seqids: set[int] = set()  # requests that the process the connection came from serves
         self.had_request = False
         self.handover = ConnectionHandover(services.transfers, self, slot.stream)
 
@@ -62,12 +62,12 @@
         return list(self._open)
 
     def call_ids(self) -> tuple[tuple[int, bytes], ...]:
-        """Return sequence number and id of each request in flight."""
+        """Return the sequence number and the id of each request in flight."""
         return tuple((seqid, request.call_id) for seqid, request in self._open.items())
 
     # ---- serving ------------------------------------------------------------------------------------
     def start(self, seqid: int, request: Request) -> None:
-        """Serve a new request in a task of its own."""
+        """Serve a new request in its own task."""
         self.had_request = True
         self._open[seqid] = OpenRequest(request.call_id)
         self._services.open_call_ids.add(request.call_id)
@@ -77,7 +77,7 @@
     def is_client_connected(self) -> bool:
         """Whether the client is connected, as far as the socket shows; see `Request`.
 
-        Of a connection that was transferred, the other process reports the end.
+        After a transfer the other process reports the disconnect, so this returns True.
         """
         return self.handover.is_transferred or self._stream.alive()
 
@@ -94,12 +94,12 @@
             self._open[seqid] = OpenRequest(request.call_id, in_flight)
             answer = run_request(dispatcher, in_flight, self._services.upstream, sink)
         except Exception:
-            # After a fault of this program the client still gets its one answer.
+            # The client gets an answer even if this program fails.
             log.exception("request failed unexpectedly")
             if in_flight is not None:
                 dispatcher.abandon(in_flight)
             answer = Failed()
-        # After a cancellation no answer is due, nor if the number belongs to another request by now.
+        # No answer is sent for a request that was cancelled, even if its number has been reused since.
         if not self._is_open(seqid, request, in_flight):
             return
         del self._open[seqid]
@@ -107,7 +107,7 @@
         self._send_final_answer(seqid, answer, sink.body)
 
     def _is_open(self, seqid: int, request: Request, in_flight: InFlightRequest | None) -> bool:
-        """Whether the number still belongs to this request."""
+        """Whether this request has not been cancelled and its number not been reused."""
         open_request = self._open.get(seqid)
         return (
             open_request is not None
@@ -126,7 +126,7 @@
                 self._send_answer(seqid, thrift.encode_fault(seqid, {}))
 
     def _send_answer(self, seqid: int, frame: bytes) -> None:
-        """Write an answer, or have it written by the process that has the connection."""
+        """Write an answer, or forward it to the process that has the connection."""
         if not self.handover.is_transferred:
             self._stream.write(frame)
             self.update_idle()
@@ -140,11 +140,11 @@
 
     # ---- ending requests without their result -------------------------------------------------------
     def cancel(self, seqid: int) -> None:
-        """Cancel a request, if there is one: no answer is due under this number any more."""
+        """Cancel the request with this number, if there is one; it gets no answer."""
         request = self._open.pop(seqid, OpenRequest(b""))
         self._services.open_call_ids.discard(request.call_id)
-        if seqid in self._remote:
-            self._remote.discard(seqid)
+        if seqid in self._remote_seqids:
+            self._remote_seqids.discard(seqid)
             self.handover.cancel_at_origin(seqid)
         self._release_handover()
         if request.in_flight is not None:
@@ -156,17 +156,17 @@
             self.cancel(seqid)
 
     def fail_pending(self) -> None:
-        """Answer all requests now, the deferred ones included."""
+        """Answer all requests now, including the deferred ones, without waiting for their results."""
         self.reject_deferred()
         for seqid, request in list(self._open.items()):
             if request.in_flight is not None:
                 self._services.dispatcher.expire(request.in_flight)
-            elif seqid in self._remote:
+            elif seqid in self._remote_seqids:
                 self.handover.cancel_at_origin(seqid)
                 self.complete_remote(seqid, thrift.encode_fault(seqid, {}))
 
     def reject_deferred(self) -> None:
-        """Answer the deferred requests, which were complete but never handled."""
+        """Reject the deferred requests, which were received but never handled."""
         for message in self._deferred:
             if message.seqid is not None:
                 self.write_rejection(message.seqid, self._deferred.backoff_s)
@@ -174,18 +174,18 @@
         self.update_idle()
 
     def write_rejection(self, seqid: int, retry_after_s: float) -> None:
-        """Reject a request that was never in flight."""
+        """Write the rejection of a request that was never in flight."""
         self._stream.write(thrift.encode_shed(seqid, {b"pushback": b"%d" % (1000 * retry_after_s)}))
 
     # ---- requests of a transferred connection -------------------------------------------------------
     def adopt(self, key: TransferKey, passed: ConnectionPassed) -> None:
-        """Continue a connection that comes from another process."""
+        """Take over the requests of a connection from another process."""
         self.had_request = passed.had_request
         if passed.pending_requests:
             self.handover.adopt(key)
         for seqid, call_id in passed.pending_requests:
             self._open[seqid] = OpenRequest(call_id)
-            self._remote.add(seqid)
+            self._remote_seqids.add(seqid)
             self._services.open_call_ids.add(call_id)
         if passed.pending_requests:
             self._slot.mark_busy()
@@ -193,17 +193,17 @@
             self._slot.mark_idle(had_request=True)
 
     def complete_remote(self, seqid: int, frame: bytes) -> None:
-        """Write the answer to a request that was in flight at the process that had the connection."""
-        if seqid not in self._remote:
+        """Write the answer of a request that the process the connection came from has served."""
+        if seqid not in self._remote_seqids:
             return
-        self._remote.discard(seqid)
+        self._remote_seqids.discard(seqid)
         request = self._open.pop(seqid)
         self._services.open_call_ids.discard(request.call_id)
         self._send_answer(seqid, frame)
         self._release_handover()
 
     def cancel_transferred(self, seqid: int | None) -> None:
-        """Cancel a request, or all, as the process that has the connection now asks."""
+        """Cancel a request, or all if None, on behalf of the process that has the connection now."""
         if not self.handover.is_transferred:
             return
         if seqid is None:
@@ -212,13 +212,15 @@
             self.cancel(seqid)
 
     def on_other_process_lost(self, key: TransferKey) -> None:
-        """End what depends on a process that is gone."""
+        """Cancel or fail the requests that depend on a process that has ended."""
         if self.handover.drop(key):
             self.cancel_all()
             return
-        for seqid in list(self._remote):
-            # It may have run; its client gets an answer all the same.
+        for seqid in list(self._remote_seqids):
+            # The request may have run, so the client gets a fault, not a rejection.
             self.complete_remote(seqid, thrift.encode_fault(seqid, {}))
 
     def _release_handover(self) -> None:
-        self.handover.release(has_remote=bool(self._remote), has_open=bool(self._open))
+        self.handover.release(
+            has_remote_requests=bool(self._remote_seqids), has_open_requests=bool(self._open)
+        )
--- a/lilacfront/frontends/platform_services.py
+++ b/lilacfront/frontends/platform_services.py
@@ -1,4 +1,4 @@
-"""What all connections of the platform's protocol share."""
+"""Services that all connections of the platform's protocol share."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PlatformClass:
-    """A request class as clients of the platform name it.
+    """A request class that clients of the platform can name in a request.
 
     Attributes:
-        index: Its place in the settings.
-        deadline_s: From the arrival of a request to its answer.
+        index: Index of the class in the settings.
+        deadline_s: Time from receiving a request to answering it, in seconds.
     """
 
     index: int
@@ -28,18 +28,18 @@
 
 @dataclass(slots=True, frozen=True)
 class PlatformServices:
-    """What a connection needs of the rest of the process.
+    """Services of the process that a connection uses.
 
     Attributes:
-        loop: Runs the tasks of the connections.
-        dispatcher: Takes the requests.
-        upstream: Carries attempts to engines.
-        classes: The request classes, by the name that clients give.
-        health: Answers `ping`.
+        loop: The event loop that runs the tasks of the connections.
+        dispatcher: Decides which engine serves a request.
+        upstream: Sends attempts to engines.
+        classes: The request classes by the names that clients use.
+        health: Health that `ping` reports.
         drain_policy: Rejects new requests late in a drain.
-        partial_messages: Bounds the memory for incomplete messages.
-        transfers: Connections that are transferred between processes.
-        open_call_ids: Ids of the requests in flight, on whatever connection.
+        partial_messages: Limits the memory for incomplete messages.
+        transfers: Registry of the connections transferred between processes.
+        open_call_ids: Ids of the requests in flight on all connections.
     """
 
     loop: Loop
--- a/lilacfront/frontends/process_state.py
+++ b/lilacfront/frontends/process_state.py
@@ -1,4 +1,4 @@
-"""What the front ends ask of the state of their process."""
+"""Interfaces through which the front ends query the state of their process."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class HealthSource(Protocol):
-    """Knows whether this process is healthy; `operations.service.Operations` is one."""
+    """Reports the health of this process; implemented by `operations.service.Operations`."""
 
     def is_healthy(self) -> bool:
         """Whether clients may send requests here."""
@@ -14,8 +14,8 @@
 
 
 class DrainPolicy(Protocol):
-    """Knows whether new requests are served; `operations.draining.DrainController` is one."""
+    """Decides whether a drain rejects new requests; see `operations.draining.DrainController`."""
 
     def retry_after_s(self, connected_at: float) -> float | None:
-        """Seconds until the client of a request may retry elsewhere; None: the request is served."""
+        """Return the delay in seconds before the client may retry elsewhere; None: serve the request."""
         ...
--- a/lilacfront/frontends/result_buffer.py
+++ b/lilacfront/frontends/result_buffer.py
@@ -1,4 +1,4 @@
-"""Collects a complete result before any of it goes to the client."""
+"""Buffers a result until it is complete; nothing is sent to the client before that."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class ResultBuffer:
-    """A `ResponseSink` for protocols that have no streamed results.
+    """A `ResponseSink` for protocols without streamed results.
 
     Attributes:
-        body: The result so far.
+        body: The part of the result received so far.
     """
 
     has_started = False
@@ -18,13 +18,13 @@
         self.body = b""
 
     def clear(self) -> None:
-        """Forget the result of an attempt that has failed."""
+        """Discard the result of a failed attempt."""
         self.body = b""
 
     def start(self, about: object) -> None:
-        """The head of a response means nothing here."""
+        """Ignore the head of a response."""
 
     def write(self, data: bytes) -> bool:
-        """Append a part; False if the result is too large."""
+        """Append a part; return False if the result exceeds `MAX_RESULT_BYTES`."""
         self.body += data
         return len(self.body) <= MAX_RESULT_BYTES
--- a/lilacfront/protocols/thrift.py
+++ b/lilacfront/protocols/thrift.py
@@ -76,7 +76,7 @@
         """Bytes of a frame that is not complete."""
         return len(self._buffer)
 
-    def take_incomplete(self) -> bytes:
+    def pop_incomplete(self) -> bytes:
         """Return what has arrived of a frame that is not complete, and forget it."""
         data = bytes(self._buffer)
         self._buffer.clear()
--- a/tests/frontends/test_deferred_messages.py
+++ b/tests/frontends/test_deferred_messages.py
@@ -44,9 +44,9 @@
 def test_messages_are_due_when_the_backoff_ends(manual_loop: ManualLoop, deferred: DeferredMessages) -> None:
     deferred.back_off()
     deferred.append(message(1))
-    assert not deferred.is_due
+    assert not deferred.can_resume
     manual_loop.run_for(0.2)
-    assert deferred.is_due
+    assert deferred.can_resume
     assert deferred.is_paused, "a later message does not overtake those that wait"
 
 
@@ -54,7 +54,7 @@
     messages = [message(seqid) for seqid in (3, None, 1)]
     for one_message in messages:
         deferred.append(one_message)
-    assert deferred.take_all() == messages
+    assert deferred.pop_all() == messages
     assert not deferred
     assert deferred.size_bytes == 0
 
