--- a/lilacfront/protocols/__init__.py
+++ b/lilacfront/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Incremental parsers and writers, free of input and output."""
+"""Incremental parsers and encoders of the wire protocols, without I/O."""
--- a/lilacfront/protocols/http1.py
+++ b/lilacfront/protocols/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 messages, read incrementally and written; nothing here touches a socket.
+"""Incremental parser and encoder for HTTP/1.1 messages, without I/O.
 
-Bodies go on as the bytes that came; only their framing is read. Whatever could be framed in two ways is
-rejected, since a gateway and what stands behind it must never disagree on where a message ends.
+Bodies are not decoded; only their framing is parsed. A message with ambiguous framing is rejected, since
+request smuggling becomes possible if a gateway and the server behind it disagree on where a message ends.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 MAX_HEAD_BYTES = 64 << 10
 MAX_HEADERS = 200
-MAX_CHUNK_SIZE_LINE_BYTES = 256  # extensions included
+MAX_CHUNK_SIZE_LINE_BYTES = 256  # including chunk extensions
 MAX_BODY_BYTES = 1 << 40
 MAX_TRAILER_LINE_BYTES = 8 << 10
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
-_REQUEST = re.compile(rb"(" + TOKEN + rb") ([\x21-\x7e\x80-\xff]+) HTTP/(\d)\.(\d)\Z")
-_STATUS = re.compile(rb"HTTP/1\.([01]) (\d{3})(?: ([\t\x20-\x7e\x80-\xff]*))?\Z")
+_REQUEST_LINE = re.compile(rb"(" + TOKEN + rb") ([\x21-\x7e\x80-\xff]+) HTTP/(\d)\.(\d)\Z")
+_STATUS_LINE = re.compile(rb"HTTP/1\.([01]) (\d{3})(?: ([\t\x20-\x7e\x80-\xff]*))?\Z")
 _HEADER = re.compile(rb"(" + TOKEN + rb"):[ \t]*([\t\x20-\x7e\x80-\xff]*?)[ \t]*\Z")
-_SIZE = re.compile(rb"([0-9A-Fa-f]{1,10})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?\Z")
+_CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,10})(?:[ \t]*;[\t\x20-\x7e\x80-\xff]*)?\Z")
 _CONNECTION_HEADERS = frozenset((b"connection", b"content-length", b"transfer-encoding"))
 HOP_BY_HOP = frozenset(
     (
@@ -40,10 +40,10 @@
 
 
 class HttpError(LilacfrontError, ValueError):
-    """A message that can't be accepted.
+    """An invalid or unsupported message.
 
     Attributes:
-        status: The HTTP status that says so.
+        status: HTTP status of the error answer.
     """
 
     def __init__(self, status: int, text: str) -> None:
@@ -53,15 +53,15 @@
 
 @dataclass(slots=True)
 class Head:
-    """The start of a message.
+    """The head of a message: the request line or status line, and the headers.
 
     Attributes:
-        headers: Names and values, as they came and in their order.
+        headers: Names and values of the headers, unchanged and in the order received.
         minor: The minor version of HTTP/1.
-        method: Of a request.
-        target: Of a request.
-        status: Of a response.
-        reason: Of a response.
+        method: Method of a request.
+        target: Target of a request.
+        status: Status code of a response.
+        reason: Reason phrase of a response.
         keep_alive: Whether the connection stays open after the message.
     """
 
@@ -74,29 +74,29 @@
     keep_alive: bool = True
 
     def get_all(self, name: bytes) -> list[bytes]:
-        """Return the values of a header, whose name is given in lower case."""
+        """Return all values of a header; `name` is in lower case."""
         return [value for key, value in self.headers if key.lower() == name]
 
     def get(self, name: bytes) -> bytes:
-        """Return the first value of a header, b"" where it is absent."""
+        """Return the first value of a header, b"" if it is absent; `name` is in lower case."""
         return next(iter(self.get_all(name)), b"")
 
     def end_to_end_headers(self) -> Headers:
-        """Return the headers that are forwarded: those that do not concern this connection alone."""
-        dropped = HOP_BY_HOP | _options(self.get_all(b"connection"))
+        """Return the headers that a proxy forwards: all except the hop-by-hop headers."""
+        dropped = HOP_BY_HOP | _connection_options(self.get_all(b"connection"))
         return [(name, value) for name, value in self.headers if name.lower() not in dropped]
 
 
 @dataclass(slots=True, frozen=True)
 class Body:
-    """Some bytes of a message's body, without its framing."""
+    """A part of a message's body, without the framing."""
 
     data: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class End:
-    """The message is complete."""
+    """The end of a message."""
 
 
 Part = Head | Body | End
@@ -104,18 +104,20 @@
 
 @dataclass(slots=True)
 class _Framing:
-    """Where a body ends: by chunks, after a length, or (neither) with the connection."""
+    """Framing of a body: chunked, of a known length, or (neither is set) up to the end of the connection."""
 
     chunked: bool = False
     length: int | None = None
 
 
 class Parser:
-    """Turns bytes, however they were split, into the parts of messages that follow one another.
+    """Parses a byte stream, split in any way, into the parts of consecutive messages.
+
+    The parser is a state machine: `_step` is the method that parses the next part.
 
     Attributes:
-        parses_responses: Whether the messages are responses.
-        expects_no_body: Whether the response that is awaited answers a HEAD.
+        parses_responses: Whether the messages are responses; otherwise they are requests.
+        expects_no_body: Whether the next response answers a HEAD request and so has no body.
     """
 
     def __init__(self, responses: bool) -> None:
@@ -123,29 +125,29 @@
         self.expects_no_body = False
         self._buffer = bytearray()
         self._parts: list[Part] = []
-        self._step = self._head
-        self._left = 0
+        self._step = self._read_head
+        self._remaining_bytes = 0
 
     @property
     def is_between_messages(self) -> bool:
-        """Whether it is between two messages and nothing of the next has arrived."""
-        return self._step == self._head and not self._buffer
+        """Whether the last message is complete and no byte of the next one has been received."""
+        return self._step == self._read_head and not self._buffer
 
     @property
     def is_in_unframed_body(self) -> bool:
-        """Whether it is within a body that only the end of the connection ends."""
-        return self._step == self._until_close
+        """Whether the parser is in a body that ends with the connection."""
+        return self._step == self._read_until_close
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that have arrived and belong to no part yet."""
+        """Number of received bytes that have not been returned in a part."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[Part]:
-        """Take bytes and return the parts that they complete.
+        """Add received bytes and return the parts that they complete.
 
         Raises:
-            HttpError: They are not an acceptable message.
+            HttpError: The message is invalid or unsupported.
         """
         self._buffer += data
         while self._step():
@@ -154,18 +156,18 @@
         return parts
 
     def end_of_stream(self) -> list[Part]:
-        """Return what the end of the connection completes: a body that runs up to it, and nothing else."""
-        if self._step == self._until_close:
-            self._step = self._head
+        """Return the parts completed by the end of the connection: the end of a body without framing."""
+        if self._step == self._read_until_close:
+            self._step = self._read_head
             return [End()]
         return []
 
     # ---- steps: each returns whether it made progress ------------------------------------------------
-    def _line(self, most: int, status: int) -> bytes | None:
-        end = self._buffer.find(b"\n", 0, most)
+    def _read_line(self, max_bytes: int, status: int) -> bytes | None:
+        end = self._buffer.find(b"\n", 0, max_bytes)
         if end < 0:
-            if len(self._buffer) >= most:
-                raise HttpError(status, f"a line of over {most} bytes")
+            if len(self._buffer) >= max_bytes:
+                raise HttpError(status, f"a line of over {max_bytes} bytes")
             return None
         if self._buffer[end - 1 : end] != b"\r":
             raise HttpError(400, "a line that ends without CR LF")
@@ -173,7 +175,7 @@
         del self._buffer[: end + 1]
         return line
 
-    def _head(self) -> bool:
+    def _read_head(self) -> bool:
         while self._buffer[:2] == b"\r\n" and not self.parses_responses:
             del self._buffer[:2]
         end = self._buffer.find(b"\r\n\r\n", 0, MAX_HEAD_BYTES)
@@ -181,31 +183,35 @@
             if len(self._buffer) >= MAX_HEAD_BYTES:
                 raise HttpError(431, f"a head of over {MAX_HEAD_BYTES} bytes")
             return False
-        first, *lines = bytes(self._buffer[:end]).split(b"\r\n")
+        first_line, *lines = bytes(self._buffer[:end]).split(b"\r\n")
         del self._buffer[: end + 4]
         if len(lines) > MAX_HEADERS:
             raise HttpError(431, f"over {MAX_HEADERS} headers")
-        headers, connection_headers = self._headers(lines)
-        head = self._response(first, headers) if self.parses_responses else self._request(first, headers)
+        headers, connection_headers = self._parse_headers(lines)
+        head = (
+            self._parse_status_line(first_line, headers)
+            if self.parses_responses
+            else self._parse_request_line(first_line, headers)
+        )
         self._set_keep_alive(head, connection_headers)
         lengths = connection_headers.get(b"content-length", [])
         codings = connection_headers.get(b"transfer-encoding", [])
-        framing = self._framing(head, lengths, codings)
+        framing = self._determine_framing(head, lengths, codings)
         if self.parses_responses and 100 <= head.status < 200:
-            return True  # an interim response; the one that is awaited follows
+            return True  # an interim response; the final response follows
         self._parts.append(head)
-        self._left = framing.length or 0
+        self._remaining_bytes = framing.length or 0
         if framing.chunked:
-            self._step = self._chunk_size
+            self._step = self._read_chunk_size
         elif framing.length is None:
-            self._step = self._until_close
+            self._step = self._read_until_close
         else:
-            self._step = self._counted
+            self._step = self._read_fixed_length
         return True
 
     @staticmethod
-    def _headers(lines: list[bytes]) -> tuple[Headers, dict[bytes, list[bytes]]]:
-        """Return all headers, and the values of those that frame the message or concern the connection."""
+    def _parse_headers(lines: list[bytes]) -> tuple[Headers, dict[bytes, list[bytes]]]:
+        """Return all headers, and the values of those about the framing or the connection."""
         headers: Headers = []
         connection_headers: dict[bytes, list[bytes]] = {}
         for line in lines:
@@ -220,11 +226,11 @@
     @staticmethod
     def _set_keep_alive(head: Head, connection_headers: dict[bytes, list[bytes]]) -> None:
         if b"connection" in connection_headers or not head.minor:
-            options = _options(connection_headers.get(b"connection", []))
+            options = _connection_options(connection_headers.get(b"connection", []))
             head.keep_alive = b"close" not in options and (head.minor == 1 or b"keep-alive" in options)
 
-    def _request(self, first: bytes, headers: Headers) -> Head:
-        if (match := _REQUEST.match(first)) is None:
+    def _parse_request_line(self, first_line: bytes, headers: Headers) -> Head:
+        if (match := _REQUEST_LINE.match(first_line)) is None:
             raise HttpError(400, "not a request line")
         if match[3] != b"1" or match[4] != b"1":
             raise HttpError(505, "only HTTP/1.1 is served here")
@@ -233,13 +239,13 @@
             raise HttpError(400, "not exactly one Host header")
         return head
 
-    def _response(self, first: bytes, headers: Headers) -> Head:
-        if (match := _STATUS.match(first)) is None:
+    def _parse_status_line(self, first_line: bytes, headers: Headers) -> Head:
+        if (match := _STATUS_LINE.match(first_line)) is None:
             raise HttpError(502, "not a status line")
         return Head(headers, int(match[1]), status=int(match[2]), reason=match[3] or b"")
 
-    def _framing(self, head: Head, lengths: list[bytes], codings: list[bytes]) -> _Framing:
-        """Return where the body ends; two answers to that, or an unclear one, are rejected."""
+    def _determine_framing(self, head: Head, lengths: list[bytes], codings: list[bytes]) -> _Framing:
+        """Return the framing of the body; ambiguous or unsupported framing is rejected."""
         if len(lengths) > 1 or (lengths and codings):
             raise HttpError(400, "framed in two ways")
         if lengths and (not lengths[0].isdigit() or int(lengths[0][:20]) > MAX_BODY_BYTES):
@@ -256,52 +262,52 @@
             return _Framing(length=int(lengths[0]))
         return _Framing(length=None if self.parses_responses else 0)
 
-    def _emit(self, size: int) -> None:
+    def _emit_body(self, size: int) -> None:
         if size:
             self._parts.append(Body(bytes(self._buffer[:size])))
             del self._buffer[:size]
 
-    def _counted(self) -> bool:
-        size = min(self._left, len(self._buffer))
-        self._emit(size)
-        self._left -= size
-        if self._left:
+    def _read_fixed_length(self) -> bool:
+        size = min(self._remaining_bytes, len(self._buffer))
+        self._emit_body(size)
+        self._remaining_bytes -= size
+        if self._remaining_bytes:
             return False
         self._parts.append(End())
-        self._step = self._head
+        self._step = self._read_head
         return True
 
-    def _until_close(self) -> bool:
-        self._emit(len(self._buffer))
+    def _read_until_close(self) -> bool:
+        self._emit_body(len(self._buffer))
         return False
 
-    def _chunk_size(self) -> bool:
-        if (line := self._line(MAX_CHUNK_SIZE_LINE_BYTES, 400)) is None:
+    def _read_chunk_size(self) -> bool:
+        if (line := self._read_line(MAX_CHUNK_SIZE_LINE_BYTES, 400)) is None:
             return False
-        if (match := _SIZE.match(line)) is None:
+        if (match := _CHUNK_SIZE_LINE.match(line)) is None:
             raise HttpError(400, "not a chunk size")
-        self._left = int(match[1], 16)
-        self._step = self._chunk if self._left else self._trailer
+        self._remaining_bytes = int(match[1], 16)
+        self._step = self._read_chunk if self._remaining_bytes else self._read_trailer
         return True
 
-    def _chunk(self) -> bool:
-        size = min(self._left, len(self._buffer))
-        self._emit(size)
-        self._left -= size
-        if self._left or len(self._buffer) < 2:
+    def _read_chunk(self) -> bool:
+        size = min(self._remaining_bytes, len(self._buffer))
+        self._emit_body(size)
+        self._remaining_bytes -= size
+        if self._remaining_bytes or len(self._buffer) < 2:
             return False
         if self._buffer[:2] != b"\r\n":
             raise HttpError(400, "a chunk longer than it says")
         del self._buffer[:2]
-        self._step = self._chunk_size
+        self._step = self._read_chunk_size
         return True
 
-    def _trailer(self) -> bool:
-        if (line := self._line(MAX_TRAILER_LINE_BYTES, 431)) is None:
+    def _read_trailer(self) -> bool:
+        if (line := self._read_line(MAX_TRAILER_LINE_BYTES, 431)) is None:
             return False
         if not line:
             self._parts.append(End())
-            self._step = self._head
+            self._step = self._read_head
         elif _HEADER.match(line) is None:
             raise HttpError(400, "a trailer that is not a name and a value")
         return True
@@ -325,28 +331,28 @@
 }
 
 
-def _options(values: list[bytes]) -> set[bytes]:
-    """Return the options in the values of a Connection header, in lower case."""
+def _connection_options(values: list[bytes]) -> set[bytes]:
+    """Return the options listed in the values of the Connection header, in lower case."""
     return {option.strip().lower() for value in values for option in value.split(b",")}
 
 
-def _head_bytes(first_line: bytes, headers: Iterable[tuple[bytes, bytes]]) -> bytes:
+def _encode_head(first_line: bytes, headers: Iterable[tuple[bytes, bytes]]) -> bytes:
     lines = b"".join(b"%s: %s\r\n" % header for header in headers)
     return first_line + b"\r\n" + lines + b"\r\n"
 
 
 def request(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]]) -> bytes:
     """Encode the head of a request."""
-    return _head_bytes(b"%s %s HTTP/1.1" % (method, target), headers)
+    return _encode_head(b"%s %s HTTP/1.1" % (method, target), headers)
 
 
 def response(status: int, headers: Iterable[tuple[bytes, bytes]], reason: bytes = b"") -> bytes:
-    """Encode the head of a response; without a reason the status's own is written."""
-    return _head_bytes(b"HTTP/1.1 %d %s" % (status, reason or REASONS.get(status, b"Unknown")), headers)
+    """Encode the head of a response; without `reason`, the standard phrase of the status is used."""
+    return _encode_head(b"HTTP/1.1 %d %s" % (status, reason or REASONS.get(status, b"Unknown")), headers)
 
 
 def chunk(data: bytes) -> bytes:
-    """Encode a chunk; of no data nothing, since an empty chunk would end the body."""
+    """Encode a chunk; for empty data return b"", since an empty chunk would end the body."""
     return b"%x\r\n%s\r\n" % (len(data), data) if data else b""
 
 
--- a/lilacfront/protocols/thrift.py
+++ b/lilacfront/protocols/thrift.py
@@ -1,7 +1,7 @@
-"""Framed Thrift in the strict binary protocol, as far as the service Front needs it.
+"""Parser and encoder for the messages of the Thrift service Front, without I/O.
 
-Nothing here reads or writes a socket. Lengths are checked before memory is allocated for them. A field that
-is not known is skipped.
+The messages use framed transport and the strict binary protocol. Lengths are checked before memory is
+allocated for them. Unknown fields are skipped.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 MAX_FRAME_BYTES = 256 << 10
 MAX_OPEN_CALLS = 32  # on one connection
-MAX_NESTING_DEPTH = 16  # of values inside values that are skipped
+MAX_NESTING_DEPTH = 16  # of a value in an unknown field
 VERSION = 0x80010000
 VERSION_MASK = 0xFFFF0000
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
@@ -23,18 +23,18 @@
 SIZE_BY_TYPE = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}
 UNKNOWN_METHOD, PROTOCOL_ERROR, INTERNAL_ERROR = 1, 7, 6
 STOP = b"\x00"
-MIN_MAP_ENTRY_BYTES = 8  # the lengths of its two strings
+MIN_MAP_ENTRY_BYTES = 8  # the length prefixes of its key and value
 _I32 = struct.Struct(">i")
-_FIELD = struct.Struct(">bh")
-_FieldHeader = tuple[int, int]  # type and number; type 0: no more fields
+_FIELD_HEADER = struct.Struct(">bh")
+_FieldHeader = tuple[int, int]  # type and field id; type 0: end of the struct
 
 
 class ThriftError(LilacfrontError, ValueError):
-    """Bytes that the protocol does not allow.
+    """An invalid message.
 
     Attributes:
-        name: The method, where it could be read.
-        seqid: The sequence number, where it could be read.
+        name: Name of the method; empty if it could not be parsed.
+        seqid: Sequence number; None if it could not be parsed.
     """
 
     def __init__(self, text: str, name: bytes = b"", seqid: int | None = None) -> None:
@@ -45,11 +45,11 @@
 
 @dataclass(slots=True)
 class Message:
-    """One call, with the arguments that are of the types that the service has.
+    """One call, with the arguments that the service defines.
 
     Attributes:
-        message_type: CALL or ONEWAY, of those that a client sends.
-        name: The method.
+        message_type: The type of the message; a client sends CALL and ONEWAY.
+        name: Name of the method.
         seqid: The sequence number.
         fields: Argument 1 of `invoke`.
         body: Argument 2 of `invoke`.
@@ -65,7 +65,7 @@
 
 
 class FrameDecoder:
-    """Cuts a stream of bytes into frames, however it was split."""
+    """Splits a byte stream, received in pieces of any size, into frames."""
 
     def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
         self._buffer = bytearray()
@@ -73,17 +73,17 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes of a frame that is not complete."""
+        """Number of received bytes of the incomplete frame."""
         return len(self._buffer)
 
     def pop_incomplete(self) -> bytes:
-        """Return what has arrived of a frame that is not complete, and forget it."""
+        """Remove the received bytes of the incomplete frame and return them."""
         data = bytes(self._buffer)
         self._buffer.clear()
         return data
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes and return the frames that they complete, without their lengths.
+        """Add received bytes and return the frames that they complete, without their length prefixes.
 
         Raises:
             ThriftError: A frame is too large.
@@ -105,7 +105,7 @@
 
 
 class _Reader:
-    """Reads values from one frame."""
+    """Reads the values of one frame."""
 
     def __init__(self, data: bytes) -> None:
         self.data = data
@@ -168,7 +168,7 @@
     """Parse one call of the service Front.
 
     Raises:
-        ThriftError: It is none; with the method and the number where they could be read.
+        ThriftError: The call is invalid. The error has the name and the sequence number if they were parsed.
     """
     reader = _Reader(frame)
     head = int.from_bytes(reader.read(4), "big")
@@ -200,45 +200,60 @@
 # ---- writing --------------------------------------------------------------------------------------
 
 
-def _string(data: bytes) -> bytes:
+def _encode_string(data: bytes) -> bytes:
     return _I32.pack(len(data)) + data
 
 
-def _map(number: int, fields: Mapping[bytes, bytes]) -> bytes:
-    entries = b"".join(_string(key) + _string(value) for key, value in fields.items())
-    return _FIELD.pack(MAP, number) + bytes((STRING, STRING)) + _I32.pack(len(fields)) + entries
+def _encode_map(field_id: int, fields: Mapping[bytes, bytes]) -> bytes:
+    entries = b"".join(_encode_string(key) + _encode_string(value) for key, value in fields.items())
+    return _FIELD_HEADER.pack(MAP, field_id) + bytes((STRING, STRING)) + _I32.pack(len(fields)) + entries
 
 
-def _message(message_type: int, name: bytes, seqid: int, content: bytes) -> bytes:
-    body = _I32.pack((VERSION | message_type) - (1 << 32)) + _string(name) + _I32.pack(seqid) + content
+def _encode_message(message_type: int, name: bytes, seqid: int, content: bytes) -> bytes:
+    body = _I32.pack((VERSION | message_type) - (1 << 32)) + _encode_string(name) + _I32.pack(seqid) + content
     return _I32.pack(len(body)) + body
 
 
-def encode_answer(name: bytes, seqid: int, body: bytes, good: bool = True) -> bytes:
+def encode_answer(name: bytes, seqid: int, body: bytes, is_good: bool = True) -> bytes:
     """Encode the reply of `invoke` or `ping`: an Answer."""
-    inner = _FIELD.pack(STRING, 1) + _string(body) + _map(2, {}) + _FIELD.pack(BOOL, 3) + bytes((good,))
-    return _message(REPLY, name, seqid, _FIELD.pack(STRUCT, 0) + inner + STOP + STOP)
+    inner = (
+        _FIELD_HEADER.pack(STRING, 1)
+        + _encode_string(body)
+        + _encode_map(2, {})
+        + _FIELD_HEADER.pack(BOOL, 3)
+        + bytes((is_good,))
+    )
+    return _encode_message(REPLY, name, seqid, _FIELD_HEADER.pack(STRUCT, 0) + inner + STOP + STOP)
 
 
 def encode_shed(seqid: int, fields: Mapping[bytes, bytes]) -> bytes:
-    """Encode the reply of `invoke` that throws Shed: the request was rejected."""
-    return _message(REPLY, b"invoke", seqid, _FIELD.pack(STRUCT, 1) + _map(1, fields) + STOP + STOP)
+    """Encode the reply of an `invoke` that throws Shed: the request was rejected."""
+    return _encode_message(
+        REPLY, b"invoke", seqid, _FIELD_HEADER.pack(STRUCT, 1) + _encode_map(1, fields) + STOP + STOP
+    )
 
 
 def encode_fault(seqid: int, fields: Mapping[bytes, bytes]) -> bytes:
-    """Encode the reply of `invoke` that throws Fault: the request failed."""
-    return _message(REPLY, b"invoke", seqid, _FIELD.pack(STRUCT, 2) + _map(1, fields) + STOP + STOP)
+    """Encode the reply of an `invoke` that throws Fault: the request failed."""
+    return _encode_message(
+        REPLY, b"invoke", seqid, _FIELD_HEADER.pack(STRUCT, 2) + _encode_map(1, fields) + STOP + STOP
+    )
 
 
 def encode_application_exception(name: bytes, seqid: int, code: int, text: str) -> bytes:
-    """Encode Thrift's own exception, for calls that the service does not take."""
-    inner = _FIELD.pack(STRING, 1) + _string(text.encode()) + _FIELD.pack(I32, 2) + _I32.pack(code)
-    return _message(EXCEPTION, name, seqid, inner + STOP)
+    """Encode a Thrift application exception, the answer to a call that the service does not accept."""
+    inner = (
+        _FIELD_HEADER.pack(STRING, 1)
+        + _encode_string(text.encode())
+        + _FIELD_HEADER.pack(I32, 2)
+        + _I32.pack(code)
+    )
+    return _encode_message(EXCEPTION, name, seqid, inner + STOP)
 
 
-# ---- the client's side ------------------------------------------------------------------------------
+# ---- client side ------------------------------------------------------------------------------------
 class ReplyKind(StrEnum):
-    """What a reply is."""
+    """The kind of a reply."""
 
     ANSWER = "answer"
     SHED = "shed"
@@ -254,12 +269,12 @@
     """A reply to `invoke` or `ping`.
 
     Attributes:
-        name: The method.
+        name: Name of the method.
         seqid: The sequence number.
-        kind: What it is.
-        body: The result, of an answer.
-        is_good: The flag of an answer.
-        fields: Of a rejection or a failure.
+        kind: The kind of the reply.
+        body: The result of an answer.
+        is_good: The flag of an answer: that of a `ping` says whether the server is healthy.
+        fields: The fields of a Shed or a Fault.
     """
 
     name: bytes
@@ -272,25 +287,25 @@
 
 def encode_invoke(seqid: int, fields: Mapping[bytes, bytes], body: bytes) -> bytes:
     """Encode a call of `invoke`."""
-    content = _map(1, fields) + _FIELD.pack(STRING, 2) + _string(body) + STOP
-    return _message(CALL, b"invoke", seqid, content)
+    content = _encode_map(1, fields) + _FIELD_HEADER.pack(STRING, 2) + _encode_string(body) + STOP
+    return _encode_message(CALL, b"invoke", seqid, content)
 
 
 def encode_abort(seqid: int) -> bytes:
     """Encode a call of `abort`, which has no reply."""
-    return _message(ONEWAY, b"abort", 0, _FIELD.pack(I32, 1) + _I32.pack(seqid) + STOP)
+    return _encode_message(ONEWAY, b"abort", 0, _FIELD_HEADER.pack(I32, 1) + _I32.pack(seqid) + STOP)
 
 
 def encode_ping(seqid: int) -> bytes:
     """Encode a call of `ping`."""
-    return _message(CALL, b"ping", seqid, _FIELD.pack(BOOL, 1) + b"\x01" + STOP)
+    return _encode_message(CALL, b"ping", seqid, _FIELD_HEADER.pack(BOOL, 1) + b"\x01" + STOP)
 
 
 def parse_reply(frame: bytes) -> Reply:
     """Parse one reply of the service Front.
 
     Raises:
-        ThriftError: It is none; an answer without its flag and a reply without a result are none either.
+        ThriftError: The reply is invalid, has no result, or is an answer without its flag.
     """
     reader = _Reader(frame)
     head = int.from_bytes(reader.read(4), "big")
@@ -301,18 +316,20 @@
     if message_type == REPLY:
         kind = RESULT_KINDS.get(reader.read_field_header())
         if kind is None:
-            raise ThriftError("a reply that holds no result", reply.name, reply.seqid)
+            raise ThriftError("reply has no known result field", reply.name, reply.seqid)
         reply.kind = kind
     has_flag = _read_result(reader, reply)
     if message_type == REPLY and reader.read(1) != STOP:
-        raise ThriftError("a reply with a second result", reply.name, reply.seqid)
+        raise ThriftError("reply has more than one result field", reply.name, reply.seqid)
     if reader.position != len(frame) or (reply.kind is ReplyKind.ANSWER and not has_flag):
-        raise ThriftError("a reply that is not complete", reply.name, reply.seqid)
+        raise ThriftError(
+            "reply has bytes after its end, or an answer without its flag", reply.name, reply.seqid
+        )
     return reply
 
 
 def _read_result(reader: _Reader, reply: Reply) -> bool:
-    """Read the fields of the result; return whether the flag of an answer was among them."""
+    """Read the fields of the result; return whether they include the flag of an answer."""
     has_flag = False
     while (header := reader.read_field_header())[0]:
         if reply.kind is ReplyKind.ANSWER and header == (STRING, 1):
--- a/lilacfront/upstream/__init__.py
+++ b/lilacfront/upstream/__init__.py
@@ -1,5 +1,5 @@
-"""How one attempt reaches an engine: RESP with paged results, or ClickHouse HTTP.
+"""Clients of the engines: RESP with paged results, and ClickHouse HTTP.
 
-Both implement `core.model.Upstream`: an attempt ends with an outcome that says how far it came, and nothing
-here decides what follows from it.
+Both implement `core.model.Upstream`. The outcome of an attempt states how it ended and at which stage; the
+retry decision is made elsewhere.
 """
--- a/lilacfront/upstream/clickhouse.py
+++ b/lilacfront/upstream/clickhouse.py
@@ -1,4 +1,4 @@
-"""Attempts on engines that speak the ClickHouse HTTP interface: one request at a time a connection."""
+"""Attempts on engines with the ClickHouse HTTP interface, with one request at a time on a connection."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 from lilacfront.sched import Loop, Stream, Task, Unconnected
 from lilacfront.upstream.clickhouse_attempt import ClickHouseAttempt
 
-# Of the time after which an engine closes idle connections; closing first avoids the race.
+# Idle connections are closed at this fraction of the engine's idle timeout, so that no request is sent at the
+# moment when the engine closes the connection.
 IDLE_TIMEOUT_FRACTION = 0.8
-DEFAULT_KEEP_ALIVE_S = 3.0  # where the engine does not say
+DEFAULT_KEEP_ALIVE_S = 3.0  # for engines that send no Keep-Alive timeout
 MAX_QUEUED_BYTES = 80 << 20
 _TIMEOUT = re.compile(rb"timeout=(\d{1,5})")
 
@@ -36,7 +37,7 @@
     """The connections to all engines, and the attempts on them.
 
     Attributes:
-        max_connections: Connections open at once, at most.
+        max_connections: Maximum number of open connections to all engines together.
     """
 
     def __init__(
@@ -50,12 +51,12 @@
         self._busy: dict[Stream, EngineAddress] = {}
 
     def stop_sending(self, engine: int, gone: bool) -> None:
-        """Close the idle connections to an engine; with `gone` those of attempts, too."""
+        """Close the idle connections to an engine; with `gone` also those with an attempt on them."""
         for address in [address for address in self._idle if address.number == engine]:
             for connection in self._idle.pop(address):
                 connection.stream.close()
         if gone:
-            # A machine that vanished says nothing; what is open on it will never be answered.
+            # A machine that has vanished closes no connections, and its open requests are never answered.
             for stream in [stream for stream, address in self._busy.items() if address.number == engine]:
                 stream.close()
 
@@ -63,10 +64,10 @@
         self, task: Task, chosen: Assignment, request: Request, sink: ResponseSink, watch: AttemptContext
     ) -> AttemptOutcome:
         """Make one attempt; see `core.model.Upstream`."""
-        stream = self._take_idle(chosen.engine) or self._connect(task, chosen)
+        stream = self._pop_idle(chosen.engine) or self._connect(task, chosen)
         if isinstance(stream, AttemptEnding):
             return AttemptOutcome(stream, DeliveryStage.NOT_CONNECTED)
-        # The first byte leaves below, in this same instant.
+        # The request is sent right below, with no wait after this check.
         if task.interrupted or not watch.may_begin():
             stream.close()
             ending = AttemptEnding.CANCELLED if task.interrupted else AttemptEnding.NOT_SENT
@@ -79,16 +80,16 @@
             del self._busy[stream]
         if outcome.ending is not AttemptEnding.CONNECTION_LOST and attempt.is_connection_reusable:
             assert attempt.head is not None
-            self._keep(stream, chosen.engine, attempt.head)
+            self._add_idle(stream, chosen.engine, attempt.head)
         else:
-            # Closing tells the engine that its response is not wanted, before any other attempt begins.
+            # Closing cancels the request at the engine before any other attempt begins.
             stream.close()
         return outcome
 
     def _connect(self, task: Task, chosen: Assignment) -> Stream | AttemptEnding:
-        """Return a new connection, or how the attempt ends without one."""
+        """Return a new connection, or the ending of the attempt if there is none."""
         if len(self._busy) + sum(map(len, self._idle.values())) >= self.max_connections:
-            # What this process lacks says nothing against the engine.
+            # The limit is one of this process, so the attempt must not count as a failure of the engine.
             return AttemptEnding.NOT_SENT
         connect_deadline = self.loop.now + self._connect_timeout_s
         connected = Stream.connect(
@@ -102,13 +103,14 @@
             return AttemptEnding.NOT_SENT
         return AttemptEnding.CONNECT_FAILED
 
-    def _take_idle(self, engine: EngineAddress) -> Stream | None:
-        """Return an idle connection that the engine has not ended."""
+    def _pop_idle(self, engine: EngineAddress) -> Stream | None:
+        """Remove and return an idle connection that the engine has not closed."""
         self._close_expired()
         connections = self._idle.get(engine, [])
         while connections:
             stream = connections.pop().stream
-            # On one that the engine has closed by now a write would look as if it may have run.
+            # On a connection that the engine has closed, a write would succeed, and the request would have to
+            # be treated as one that may have run.
             if stream.quiet():
                 return stream
             stream.close()
@@ -121,7 +123,7 @@
                 connections.remove(connection)
                 connection.stream.close()
 
-    def _keep(self, stream: Stream, engine: EngineAddress, head: http1.Head) -> None:
+    def _add_idle(self, stream: Stream, engine: EngineAddress, head: http1.Head) -> None:
         match = _TIMEOUT.search(head.get(b"keep-alive"))
         keep_alive_s = float(match[1]) if match is not None else DEFAULT_KEEP_ALIVE_S
         expires_at = self.loop.now + IDLE_TIMEOUT_FRACTION * keep_alive_s
--- a/lilacfront/upstream/clickhouse_attempt.py
+++ b/lilacfront/upstream/clickhouse_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt on an HTTP connection that is up: a request and its response."""
+"""One attempt on an established HTTP connection: a request and its response."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 MAX_ERROR_TEXT_BYTES = 64 << 10
 STATUS_OK = 200
 MIN_SERVER_ERROR_STATUS = 500
-# TOO_MANY_SIMULTANEOUS_QUERIES, SERVER_OVERLOADED: the statement never ran.
+# The statement never ran: TOO_MANY_SIMULTANEOUS_QUERIES, SERVER_OVERLOADED.
 REJECTION_CODES = frozenset((202, 745))
-# The server's state rather than the statement's fault: TIMEOUT_EXCEEDED, SOCKET_TIMEOUT, NETWORK_ERROR,
+# Caused by the state of the server, not by the statement: TIMEOUT_EXCEEDED, SOCKET_TIMEOUT, NETWORK_ERROR,
 # ABORTED, MEMORY_LIMIT_EXCEEDED, TABLE_IS_READ_ONLY, ALL_CONNECTION_TRIES_FAILED, QUERY_WAS_CANCELLED,
 # SYSTEM_ERROR, KEEPER_EXCEPTION.
 SERVER_FAULT_CODES = frozenset((159, 209, 210, 236, 241, 242, 279, 394, 425, 999))
@@ -30,7 +30,7 @@
 
 
 def exception_code(head: http1.Head, text: bytes) -> int | None:
-    """Return the ClickHouse code of an error response, None where it has none."""
+    """Return the ClickHouse error code of a response, None if it has none."""
     header = head.get(b"x-clickhouse-exception-code")
     if header.isdigit() and len(header) <= MAX_CODE_DIGITS:
         return int(header)
@@ -39,10 +39,10 @@
 
 
 class ClickHouseAttempt:
-    """Sends a request and takes its response.
+    """Sends a request and receives its response.
 
     Attributes:
-        head: The head of the response, once it has arrived.
+        head: The head of the response; None until it has been received.
     """
 
     def __init__(self, stream: Stream, request: Request, engine: EngineAddress) -> None:
@@ -63,7 +63,7 @@
         return self._is_complete and self._last_chunk.whole and self._parser.is_between_messages
 
     def run(self, task: Task, deadline: float, stall_timeout_s: float, sink: ResponseSink) -> AttemptOutcome:
-        """Take the response until an outcome is known."""
+        """Receive the response until the outcome is known."""
         while True:
             stall_deadline = self._stream.loop.now + stall_timeout_s
             read_deadline = deadline if self.head is None else min(deadline, stall_deadline)
@@ -72,11 +72,11 @@
                 is_cancelled = received is Interrupted
                 ending = AttemptEnding.CANCELLED if is_cancelled else AttemptEnding.TIMED_OUT
                 return AttemptOutcome(ending, self._delivery_stage())
-            outcome = self._take_bytes(received, task, sink)
+            outcome = self._handle_bytes(received, task, sink)
             if outcome is not None:
                 return outcome
 
-    def _take_bytes(self, received: bytes, task: Task, sink: ResponseSink) -> AttemptOutcome | None:
+    def _handle_bytes(self, received: bytes, task: Task, sink: ResponseSink) -> AttemptOutcome | None:
         try:
             parts = self._parser.feed(received) if received else self._parser.end_of_stream()
         except http1.HttpError as error:
@@ -85,15 +85,15 @@
         if not received and not parts:
             return AttemptOutcome(AttemptEnding.CONNECTION_LOST, self._delivery_stage())
         if self._parser.is_in_unframed_body or not received:
-            # Where only the end of the connection ends a result, one that was cut off looks complete.
+            # A result without a length ends with the connection, so a truncated one would look complete.
             return AttemptOutcome(AttemptEnding.CONNECTION_LOST, DeliveryStage.RESPONDING)
         for part in parts:
-            outcome = self._take_part(part, task, sink)
+            outcome = self._handle_part(part, task, sink)
             if outcome is not None:
                 return outcome
         return None
 
-    def _take_part(self, part: http1.Part, task: Task, sink: ResponseSink) -> AttemptOutcome | None:
+    def _handle_part(self, part: http1.Part, task: Task, sink: ResponseSink) -> AttemptOutcome | None:
         match part:
             case http1.Head():
                 self.head = part
@@ -101,11 +101,11 @@
                     sink.start(part)
                 return None
             case http1.Body(data):
-                return self._take_body(data, task, sink)
+                return self._handle_body(data, task, sink)
             case http1.End():
-                return self._take_end(sink)
+                return self._handle_end(sink)
 
-    def _take_body(self, data: bytes, task: Task, sink: ResponseSink) -> AttemptOutcome | None:
+    def _handle_body(self, data: bytes, task: Task, sink: ResponseSink) -> AttemptOutcome | None:
         assert self.head is not None
         if self.head.status != STATUS_OK:
             self._error_text += data
@@ -118,7 +118,7 @@
         detail = b"the answer can't be passed on"
         return AttemptOutcome(AttemptEnding.ERROR, DeliveryStage.RESPONDING, None, detail)
 
-    def _take_end(self, sink: ResponseSink) -> AttemptOutcome:
+    def _handle_end(self, sink: ResponseSink) -> AttemptOutcome:
         self._is_complete = True
         assert self.head is not None
         if self.head.status != STATUS_OK:
@@ -126,7 +126,11 @@
         return AttemptOutcome(AttemptEnding.COMPLETED, DeliveryStage.RESPONDING)
 
     def _error_outcome(self, head: http1.Head, sink: ResponseSink) -> AttemptOutcome:
-        """The engine's own state ends the attempt; the statement's own fault goes on to the client."""
+        """Return the outcome for an error response.
+
+        An error caused by the engine's state ends the attempt as rejected or failed. An error caused by the
+        statement is the result and is forwarded to the client.
+        """
         text = self._error_text[:MAX_ERROR_TEXT_BYTES]
         code = exception_code(head, text)
         if code in REJECTION_CODES:
@@ -146,7 +150,11 @@
 
 
 def _request_head(request: Request, engine: EngineAddress) -> bytes:
-    """Return the client's own head; of a request by another protocol, that of a plain statement."""
+    """Return the head of the request to the engine.
+
+    The head of an HTTP client is forwarded without its hop-by-hop headers. For other protocols, the head is
+    that of a POST whose body is the statement.
+    """
     host = b"%s:%d" % (engine.address[0].encode(), engine.address[1])
     client_head = request.protocol_context
     if isinstance(client_head, http1.Head):
--- a/lilacfront/upstream/resp.py
+++ b/lilacfront/upstream/resp.py
@@ -1,4 +1,4 @@
-"""Attempts on engines that speak RESP: many attempts a connection, results in pages."""
+"""Attempts on engines that speak RESP, with many attempts on a connection and results in pages."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 from lilacfront.upstream.resp_attempt import RespAttempt
 from lilacfront.upstream.resp_connection import RespConnection
 
-MAX_CONNECTIONS_PER_ENGINE = 18  # of all gateways together
-MAX_OWN_CONNECTIONS_PER_ENGINE = 6  # of this gateway
-# Of the time after which engines close idle connections; closing first avoids the race.
+MAX_CONNECTIONS_PER_ENGINE = 18  # from all gateways together
+MAX_OWN_CONNECTIONS_PER_ENGINE = 6  # from this gateway
+# Idle connections are closed at this fraction of the engines' idle timeout, so that no request is sent at the
+# moment when the engine closes the connection.
 IDLE_TIMEOUT_FRACTION = 0.8
 
 
@@ -27,10 +28,12 @@
     """The connections to all engines, and the attempts on them.
 
     Attributes:
-        class_names: By class index, as engines know them.
-        max_connections: Connections open at once, at most.
-        max_connections_per_engine: Of this gateway, so that many gateways do not fill an engine's tables. Up
-            to it each attempt has a connection of its own, since a reset ends all attempts on its connection.
+        class_names: Names of the request classes at the engines, by class index.
+        max_connections: Maximum number of open connections to all engines together.
+        max_connections_per_engine: Maximum number of connections from this gateway to one engine. It is a
+            share of `MAX_CONNECTIONS_PER_ENGINE`, so that many gateways do not fill an engine's connection
+            table. Up to this number each attempt gets its own connection, since a reset ends all attempts on
+            a connection.
     """
 
     def __init__(
@@ -52,15 +55,15 @@
         self._streams_per_connection = streams_per_connection
         self._connect_timeout_s = connect_timeout_s
         self._idle_timeout_s = idle_timeout_s * IDLE_TIMEOUT_FRACTION
-        self._pools: dict[int, list[RespConnection]] = {}  # by engine, those that are not closed
+        self._pools: dict[int, list[RespConnection]] = {}  # open connections, by engine number
         self._connection_count = 0
 
     def stop_sending(self, engine: int, gone: bool) -> None:
-        """Withdraw what has not begun to leave for an engine; with `gone` close its connections, too."""
+        """Withdraw the commands to an engine that are unsent; with `gone` also close its connections."""
         for connection in list(self._pools.get(engine, ())):
             connection.withdraw_unsent()
             if gone:
-                # A machine that vanished says nothing; what is open on it will never be answered.
+                # A machine that has vanished closes no connections, and its open requests are never answered.
                 connection.close()
 
     def attempt(
@@ -82,7 +85,7 @@
     def _wait_until_ready(
         self, task: Task, connection: RespConnection, deadline: float
     ) -> AttemptEnding | None:
-        """Wait for the connection to come up; return how the attempt ends if it does not."""
+        """Wait for the connection to be established; return the ending of the attempt if it is not."""
         connection.waiting_attempts += 1
         ended = connection.ready.wait(task, deadline)
         connection.waiting_attempts -= 1
@@ -90,7 +93,7 @@
             return AttemptEnding.CANCELLED if ended is Interrupted else AttemptEnding.NOT_SENT
         if not connection.is_closed:
             return None
-        # That this process has no descriptor left says nothing against the engine.
+        # Without a free descriptor in this process, the attempt must not count as a failure of the engine.
         is_own_fault = connection.connect_failure is Unconnected.NO_DESCRIPTOR
         return AttemptEnding.NOT_SENT if is_own_fault else AttemptEnding.CONNECT_FAILED
 
@@ -103,18 +106,21 @@
         return resp.encode(b"do", request.call_id, fields, request.body)
 
     def _acquire(self, engine: EngineAddress, call_id: bytes) -> RespConnection | None:
-        """Return a connection that can carry the request, made if need be; None where there can be none."""
+        """Return a connection for an attempt, opening one if necessary; None if there can't be one.
+
+        An unloaded connection is preferred, then a new one, then the one with the fewest attempts.
+        """
         pool = self._pools.get(engine.number, [])
         if any(call_id in connection.cancelled_calls for connection in pool):
-            # On another connection the next attempt could overtake the cancellation of the last one, and the
-            # engine would run both. On the same one their answers could not be told apart.
+            # On another connection the new attempt could overtake the cancellation of the previous one, and
+            # the engine would run both. On the same connection their answers would be indistinguishable.
             return None
         self._close_unusable(engine)
         pool = self._pools.get(engine.number, [])
-        usable = [connection for connection in pool if self._can_carry(connection, engine, call_id)]
+        usable = [connection for connection in pool if self._can_send(connection, engine, call_id)]
         unloaded = [connection for connection in usable if not connection.load]
         if unloaded:
-            # The one used last: the others may reach their idle timeout.
+            # The most recently used one, so that the others can reach their idle timeout.
             return max(unloaded, key=lambda connection: connection.idle_since)
         may_open = len(pool) < self.max_connections_per_engine
         if usable and not (may_open and self._connection_count < self.max_connections):
@@ -124,16 +130,19 @@
         return self._open(engine)
 
     def _close_unusable(self, engine: EngineAddress) -> None:
-        """Close idle connections that the engine has ended: a write there would count as may have run."""
+        """Close idle connections that the engine has closed or left with unread bytes.
+
+        A request written to a closed connection would have to be treated as one that may have run.
+        """
         for connection in list(self._pools.get(engine.number, ())):
-            if not connection.load and not connection.is_clean:
+            if not connection.load and not connection.is_reusable:
                 connection.close()
 
-    def _can_carry(self, connection: RespConnection, engine: EngineAddress, call_id: bytes) -> bool:
-        """Whether a request may go onto this connection.
+    def _can_send(self, connection: RespConnection, engine: EngineAddress, call_id: bytes) -> bool:
+        """Whether an attempt of a request may be sent on this connection.
 
-        Where the request was answered before, a late second copy of that answer would be taken for the next
-        attempt's own.
+        A connection on which the request was answered before is excluded, because a late duplicate of that
+        answer would be mistaken for the answer to the new attempt.
         """
         return (
             connection.engine == engine
@@ -143,7 +152,7 @@
         )
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection that has been idle longest; False where none is idle."""
+        """Close the connection that has been idle the longest; return False if none is idle."""
         idle = [connection for pool in self._pools.values() for connection in pool if not connection.load]
         if not idle:
             return False
--- a/lilacfront/upstream/resp_attempt.py
+++ b/lilacfront/upstream/resp_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt on a RESP connection that is up."""
+"""One attempt on an established RESP connection."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     parse_notification,
 )
 
-PAGES_TIMEOUT_S = 1.0  # without a page for this long the engine has fallen silent
-PAGE_RETRY_S = 0.1  # a page that takes longer was lost; doubles with each retry
+PAGES_TIMEOUT_S = 1.0  # the attempt times out if no page is received for this long
+PAGE_RETRY_S = 0.1  # delay before missing pages are requested again; doubles with each retry
 MAX_ERROR_TEXT_BYTES = 200
 ANSWERED = (AttemptEnding.COMPLETED, AttemptEnding.REJECTED, AttemptEnding.ERROR)
 
 
 class RespAttempt:
-    """Sends the command, takes the replies and asks for missing pages, until an outcome is known."""
+    """Sends the command, receives the replies and requests missing pages until the outcome is known."""
 
     def __init__(
         self, connection: RespConnection, call_id: bytes, command: bytes, context: AttemptContext
@@ -43,12 +43,12 @@
         self._context = context
         self._attempt = connection.begin(call_id, command, context)
         self._load_report: LoadReport | None = None
-        self._pages_deadline = math.inf  # once the number of pages is known
+        self._pages_deadline = math.inf  # infinite until the number of pages is known
         self._page_retry_at = math.inf
         self._page_retry_s = PAGE_RETRY_S
 
     def run(self, task: Task, deadline: float, sink: ResponseSink) -> AttemptOutcome:
-        """Wait for the outcome; when this returns, the engine has been told that the attempt is over."""
+        """Wait for the outcome; before this returns, an unfinished attempt is cancelled at the engine."""
         self._context.subscribe_priority(self._send_priority)
         outcome: AttemptOutcome | None = None
         try:
@@ -62,9 +62,9 @@
         deadline = min(deadline, self._pages_deadline)
         received = self._attempt.inbox.get(task, min(deadline, self._page_retry_at))
         if isinstance(received, Reply):
-            return self._take_reply(received, sink)
+            return self._handle_reply(received, sink)
         if received is Wait.TIMED_OUT and self._connection.loop.now < deadline:
-            # One lost page must not cost a result that the engine has worked for.
+            # Requesting a lost page again keeps a result that the engine has already computed.
             self._request_missing_pages()
             return None
         return self._outcome_without_reply(received)
@@ -73,15 +73,18 @@
         self._connection.send(b"bump", self._call_id, b"%d" % priority)
 
     def _final_command(self, outcome: AttemptOutcome | None) -> bytes | None:
-        """Return what the engine must still be told; None where it knows that the attempt is over."""
+        """Return the command that ends the attempt at the engine; None if the engine has ended it already.
+
+        `undo` cancels the statement, `forget` drops the pages of a result that were not received.
+        """
         result = self._attempt.result
-        if result.has_begun:
+        if result.has_first_page:
             return None if result.is_complete else b"forget"
         is_answered = outcome is not None and outcome.ending in ANSWERED
         return None if is_answered else b"undo"
 
     def _delivery_stage(self) -> DeliveryStage:
-        if self._attempt.result.has_begun:
+        if self._attempt.result.has_first_page:
             return DeliveryStage.RESPONDING
         command = self._attempt.command
         if command.withdraw():
@@ -103,20 +106,20 @@
     def _error(self, detail: bytes) -> AttemptOutcome:
         return AttemptOutcome(AttemptEnding.ERROR, DeliveryStage.RESPONDING, self._load_report, detail)
 
-    def _take_reply(self, reply: Reply, sink: ResponseSink) -> AttemptOutcome | None:
+    def _handle_reply(self, reply: Reply, sink: ResponseSink) -> AttemptOutcome | None:
         self._load_report = parse_load_report(reply.fields.get(b"rep")) or self._load_report
         if reply.kind in (HIT, PART):
-            return self._take_page(reply.kind == HIT, sink)
+            return self._handle_page(reply.kind == HIT, sink)
         if reply.kind == INFO:
             notification = parse_notification(reply.fields)
             if notification is not None:
                 self._context.notify(notification)
             return None
-        if reply.kind in (SHED, LATE) and not self._attempt.result.has_begun:
+        if reply.kind in (SHED, LATE) and not self._attempt.result.has_first_page:
             return AttemptOutcome(AttemptEnding.REJECTED, DeliveryStage.WRITTEN, self._load_report)
         return self._error(reply.body[:MAX_ERROR_TEXT_BYTES])
 
-    def _take_page(self, is_first: bool, sink: ResponseSink) -> AttemptOutcome | None:
+    def _handle_page(self, is_first: bool, sink: ResponseSink) -> AttemptOutcome | None:
         result = self._attempt.result
         if not result.is_complete:
             self._pages_deadline = self._connection.loop.now + PAGES_TIMEOUT_S
--- a/lilacfront/upstream/resp_connection.py
+++ b/lilacfront/upstream/resp_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an engine that speaks RESP, with many attempts on it at once."""
+"""One connection to an engine that speaks RESP, shared by many attempts."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 )
 
 log = Log(__name__)
-ANSWER_TIMEOUT_S = 0.5  # an answer that has begun is complete within this
-MIN_IDLE_CHECK_S = 0.05
-LATE_ANSWER_S = 30.0  # an answer to an attempt that is over comes no later than this
-MAX_QUEUED_BYTES = 1 << 20  # for an engine that does not read
+ANSWER_TIMEOUT_S = 0.5  # from the first byte of an answer to its last
+MIN_IDLE_CHECK_S = 0.05  # minimum time between two checks of the idle timeout
+LATE_ANSWER_S = 30.0  # after this long no answer to an ended attempt is expected any more
+MAX_QUEUED_BYTES = 1 << 20  # commands queued for an engine that does not read
 
 
 class ConnectionEvent(Enum):
-    """What a connection tells its attempts besides replies."""
+    """Event that a connection reports to its attempts in addition to replies."""
 
     CLOSED = "the connection ended"
     WITHDRAWN = "withdrawn before its first byte left"
@@ -39,8 +39,8 @@
 
     Attributes:
         inbox: Replies and events for the attempt's task.
-        command: The bytes of the request, on their way out.
-        result: What has arrived of the result.
+        command: The command in the send queue of the stream.
+        result: The pages received so far.
     """
 
     inbox: Channel[Reply | ConnectionEvent]
@@ -49,19 +49,21 @@
 
 
 class RespConnection:
-    """A connection, from the moment it is first needed to its end.
+    """A connection, from the start of connecting to its end.
 
     Attributes:
-        engine: Whom it leads to.
-        ready: Set once the connection is up or has failed.
-        stream: The connection, while it is up.
-        connect_failure: Why it did not come up.
-        is_closed: Whether it has ended.
-        open_attempts: By call id.
-        cancelled_calls: When each attempt was cancelled whose answer may still arrive.
-        answered_calls: When each attempt ended of whose answer a second copy may still arrive.
-        waiting_attempts: Attempts that wait for the connection to come up.
-        idle_since: When the last attempt ended.
+        engine: Number and address of the engine.
+        ready: Set once the connection is established or has failed.
+        stream: The byte stream; None until the connection is established.
+        connect_failure: Reason why the connection was not established, if it was not.
+        is_closed: Whether the connection has ended.
+        open_attempts: Open attempts, by call id.
+        cancelled_calls: Time of cancellation of each cancelled attempt whose answer may still be received,
+            by call id.
+        answered_calls: Time of the end of each answered attempt of which a duplicate answer may still be
+            received, by call id.
+        waiting_attempts: Number of attempts that wait for the connection to be established.
+        idle_since: Time at which the last attempt ended.
     """
 
     def __init__(
@@ -86,44 +88,51 @@
         self._idle_timeout_s = idle_timeout_s
         self._on_close = on_close
         self._parser = resp.Parser((WORDS_PER_ANSWER, WORDS_PER_ANSWER), MAX_PAGE_BYTES)
-        self._answer_deadline = 0.0  # of an answer that has begun; 0: none has
+        self._answer_deadline = 0.0  # of the answer received in part; 0: there is none
         loop.spawn(self._run, connect_timeout_s)
 
     @property
     def load(self) -> int:
-        """Attempts that are open or wait for the connection."""
+        """Number of attempts that are open or wait for the connection."""
         return len(self.open_attempts) + self.waiting_attempts
 
     @property
-    def is_clean(self) -> bool:
-        """Whether an attempt may begin here: nothing has arrived of an answer that nobody waits for.
+    def is_reusable(self) -> bool:
+        """Whether an attempt may be sent: the connection is open without an unread or incomplete answer.
 
-        Half a line that an engine left behind would corrupt the answer of the next attempt.
+        The rest of an earlier answer would corrupt the answer of the next attempt. A connection that is still
+        being established is reusable.
         """
         return self.stream is None or (not self._parser.is_inside_array and self.stream.quiet())
 
     def begin(self, call_id: bytes, command: bytes, context: AttemptContext) -> OpenAttempt:
-        """Send the command of an attempt, if it still may begin when the first byte would leave."""
+        """Queue the command of an attempt; it is withdrawn if the attempt may not begin when it is sent."""
         assert self.stream is not None
         inbox: Channel[Reply | ConnectionEvent] = Channel(self.loop)
 
-        def may_leave() -> bool:
+        def may_send() -> bool:
             if context.may_begin():
                 return True
             inbox.put(ConnectionEvent.WITHDRAWN)
             return False
 
-        attempt = OpenAttempt(inbox, self.stream.write(command, may_leave))
+        attempt = OpenAttempt(inbox, self.stream.write(command, may_send))
         self.open_attempts[call_id] = attempt
         return attempt
 
     def end(self, call_id: bytes, final_command: bytes | None) -> None:
-        """End an attempt; its `final_command` leaves before another attempt can begin elsewhere."""
+        """End an attempt.
+
+        Args:
+            call_id: Id of the request.
+            final_command: Command that cancels the attempt at the engine; None if it was answered. It is sent
+                before this returns, so before another attempt of the request can begin on another engine.
+        """
         attempt = self.open_attempts.pop(call_id, None)
         now = self.loop.now
         self.idle_since = now
-        _forget_older(self.cancelled_calls, now - LATE_ANSWER_S)
-        _forget_older(self.answered_calls, now - LATE_ANSWER_S)
+        _remove_older(self.cancelled_calls, now - LATE_ANSWER_S)
+        _remove_older(self.answered_calls, now - LATE_ANSWER_S)
         if attempt is None or self.stream is None or self.is_closed:
             return
         if final_command is None:
@@ -135,22 +144,22 @@
         chunk = self.stream.write(resp.encode(final_command, call_id))
         self.stream.flush()
         if not chunk.whole:
-            # The engine no longer reads and can't learn of the cancellation; closing the connection tells it.
+            # The engine does not read, so the cancellation can't be sent; closing the connection cancels too.
             self.close()
 
     def send(self, *words: bytes) -> None:
-        """Send words that need no answer of their own."""
+        """Send a command that has no answer."""
         if self.stream is not None and not self.is_closed:
             self.stream.write(resp.encode(*words))
 
     def withdraw_unsent(self) -> None:
-        """Withdraw the attempts of which no byte has left."""
+        """Withdraw the attempts of which no byte has been sent."""
         for attempt in self.open_attempts.values():
             if attempt.command.withdraw():
                 attempt.inbox.put(ConnectionEvent.WITHDRAWN)
 
     def close(self) -> None:
-        """End the connection, and tell its attempts."""
+        """Close the connection and notify its attempts."""
         if self.is_closed:
             return
         self.is_closed = True
@@ -188,7 +197,7 @@
             self.connect_failure = connected
             return None
         if self.is_closed:
-            connected.close()  # the engine was removed while the connection came up
+            connected.close()  # the engine was removed while the connection was being established
             return None
         self.stream = connected
         self.idle_since = self.loop.now
@@ -200,14 +209,14 @@
             received = stream.read(task, self._read_deadline())
             if isinstance(received, Wait):
                 if self._parser.is_inside_array:
-                    # An answer that stops short leaves all attempts here without one. The sooner they know,
-                    # the more of them can be retried.
+                    # No further answer can be read after an incomplete one. Closing the connection early
+                    # leaves its attempts more time for retries.
                     log.warning("answer incomplete", engine=self.engine.address)
                     return
                 if not self.load and self.loop.now >= self.idle_since + self._idle_timeout_s:
                     return
                 continue
-            if not received or not self._take_bytes(received):
+            if not received or not self._handle_bytes(received):
                 return
 
     def _read_deadline(self) -> float:
@@ -217,10 +226,10 @@
             return max(self.idle_since + self._idle_timeout_s, self.loop.now + MIN_IDLE_CHECK_S)
         return self.loop.now + self._idle_timeout_s
 
-    def _take_bytes(self, received: bytes) -> bool:
-        """Hand replies to their attempts; False where the bytes can't be understood.
+    def _handle_bytes(self, received: bytes) -> bool:
+        """Dispatch the received replies to their attempts; return False if the bytes are invalid.
 
-        Past such bytes nothing on this connection can be trusted: its attempts end as what may have run.
+        After invalid bytes the connection is closed, and its attempts count as ones that may have run.
         """
         try:
             answers = self._parser.feed(received)
@@ -239,14 +248,14 @@
         call_id, kind, fields, body = words
         attempt = self.open_attempts.get(call_id)
         if attempt is None:
-            return  # an answer to an attempt that was cancelled, or never made
+            return  # an answer to a cancelled or unknown attempt
         reply = Reply(kind, parse_fields(fields), body)
         if attempt.result.accept(reply):
             attempt.inbox.put(reply)
 
 
-def _forget_older(times: dict[bytes, float], before: float) -> None:
-    """Remove the entries, which stand in the order of their times, that are older."""
+def _remove_older(times: dict[bytes, float], before: float) -> None:
+    """Remove the entries older than `before`; the entries are in the order of their times."""
     while times:
         call_id, time = next(iter(times.items()))
         if time >= before:
--- a/tests/frontends/test_clickhouse_errors.py
+++ b/tests/frontends/test_clickhouse_errors.py
@@ -14,7 +14,7 @@
     assert answer.endswith(b"\r\n\r\nCode: 62. DB::Exception: Empty query. (SYNTAX_ERROR)\n")
 
 
-def test_text_of_an_engine_keeps_its_own_code() -> None:
+def test_error_text_of_an_engine_keeps_its_code() -> None:
     answer = encode_failure(Failed(detail=b"Code: 60. DB::Exception: No table"), keep_alive=True)
     assert b"X-ClickHouse-Exception-Code: 60\r\n" in answer
     assert answer.endswith(b"\r\n\r\nCode: 60. DB::Exception: No table")
@@ -26,17 +26,17 @@
 
 
 @pytest.mark.parametrize(("retry_after_ms", "seconds"), [(0, b"1"), (1000, b"1"), (1001, b"2")])
-def test_rejection_says_when_to_retry_in_whole_seconds(retry_after_ms: int, seconds: bytes) -> None:
+def test_retry_after_is_rounded_up_to_whole_seconds(retry_after_ms: int, seconds: bytes) -> None:
     answer = encode_rejection(Rejected(retry_after_ms), keep_alive=True)
     assert b"Retry-After: " + seconds + b"\r\n" in answer
 
 
-def test_rejection_gives_the_range_of_the_wait() -> None:
+def test_rejection_has_the_range_of_the_wait() -> None:
     answer = encode_rejection(Rejected(1000, (50, 12345)), keep_alive=True)
     assert b"X-Lilacfront-Wait: low=0.050, high=12.345\r\n" in answer
 
 
-def test_exceeded_deadline_is_a_timeout() -> None:
+def test_exceeded_deadline_is_answered_with_504() -> None:
     answer = encode_failure(Failed(is_deadline_exceeded=True), keep_alive=False)
     assert answer.startswith(b"HTTP/1.1 504 ")
     assert b"Connection: close\r\n" in answer
--- a/tests/frontends/test_deferred_messages.py
+++ b/tests/frontends/test_deferred_messages.py
@@ -1,4 +1,4 @@
-"""Backoff after bad messages, and the messages that arrive meanwhile."""
+"""Exponential backoff after bad messages, and the queue of messages deferred meanwhile."""
 
 from __future__ import annotations
 
@@ -41,16 +41,18 @@
     assert not deferred.is_paused
 
 
-def test_messages_are_due_when_the_backoff_ends(manual_loop: ManualLoop, deferred: DeferredMessages) -> None:
+def test_deferred_messages_can_resume_when_the_backoff_ends(
+    manual_loop: ManualLoop, deferred: DeferredMessages
+) -> None:
     deferred.back_off()
     deferred.append(message(1))
     assert not deferred.can_resume
     manual_loop.run_for(0.2)
     assert deferred.can_resume
-    assert deferred.is_paused, "a later message does not overtake those that wait"
+    assert deferred.is_paused, "a later message must not overtake the deferred ones"
 
 
-def test_messages_are_taken_in_the_order_of_their_arrival(deferred: DeferredMessages) -> None:
+def test_messages_are_popped_in_the_order_received(deferred: DeferredMessages) -> None:
     messages = [message(seqid) for seqid in (3, None, 1)]
     for one_message in messages:
         deferred.append(one_message)
@@ -59,7 +61,7 @@
     assert deferred.size_bytes == 0
 
 
-def test_removed_request_no_longer_counts(deferred: DeferredMessages) -> None:
+def test_removed_requests_do_not_count_towards_the_size(deferred: DeferredMessages) -> None:
     for seqid in (1, 2, 1, None):
         deferred.append(message(seqid))
     deferred.remove_request(1)
@@ -67,7 +69,7 @@
     assert deferred.size_bytes == 20
 
 
-def test_too_many_deferred_bytes_are_an_error(deferred: DeferredMessages) -> None:
+def test_deferring_too_many_bytes_raises(deferred: DeferredMessages) -> None:
     deferred.append(message(1, MAX_DEFERRED_BYTES))
     with pytest.raises(thrift.ThriftError):
         deferred.append(message(2, 1))
--- a/tests/frontends/test_exchanges.py
+++ b/tests/frontends/test_exchanges.py
@@ -1,4 +1,4 @@
-"""The recorded exchanges: rules that hold for both paths, and what each path has of its own."""
+"""Plays the recorded exchanges: those common to both protocol paths, and those of one path."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 PATHS = pytest.mark.parametrize(
     "path", [pytest.param(ThriftResp, id="thrift-resp"), pytest.param(Http, id="http")]
 )
-# Exchanges say in their first line that they need other settings.
+# The first line of an exchange can ask for settings other than the defaults.
 ONE_STREAM, DEFAULT_STREAMS = 1, 32
 FEW_DESCRIPTORS, DEFAULT_DESCRIPTORS = 16, 1024
 TEAMS_PREFIX = "#= "
 
 
 def exchanges(directory: str) -> pytest.MarkDecorator:
-    """A parameter for the names of the exchanges of a directory."""
+    """Parametrize a test with the names of the exchanges in a directory."""
     files = (EXCHANGES_DIRECTORY / directory).glob("*.txt")
     return pytest.mark.parametrize("name", sorted(file.stem for file in files))
 
@@ -51,7 +51,7 @@
 
 
 def play(name: str, dialect: Dialect, split: bool = False) -> None:
-    """Play an exchange against a front end with the settings that its first line asks for."""
+    """Play an exchange against a front end with the settings named in its first line."""
     text = (EXCHANGES_DIRECTORY / f"{name}.txt").read_text()
     lines = text.splitlines()
     streams = ONE_STREAM if "one stream" in lines[0] else DEFAULT_STREAMS
--- a/tests/frontends/test_platform.py
+++ b/tests/frontends/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's front end: bounds on memory."""
+"""Memory limit for incomplete messages of the platform's front end."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 LARGE_FRAME_HEAD = b"\0\1\xff\xff"
 
 
-def test_incomplete_messages_hold_no_more_than_their_part_of_the_memory() -> None:
+def test_incomplete_messages_beyond_the_memory_limit_close_the_largest_connection() -> None:
     stage = Stage(ThriftResp(), limits={"memory_mb": 2})
     try:
         for name, size in (("C1", 70_000), ("C2", 50_000), ("C3", 40_000)):
--- a/tests/frontends/test_platform_request_parser.py
+++ b/tests/frontends/test_platform_request_parser.py
@@ -1,4 +1,4 @@
-"""Requests of the platform's protocol, as they are parsed and rejected."""
+"""Parsing and validation of requests of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         ({b"ttl": b"10"}, 0.005),
     ],
 )
-def test_deadline_leaves_a_margin_for_the_way(fields: dict[bytes, bytes], timeout_s: float) -> None:
+def test_deadline_has_a_margin_for_transmission(fields: dict[bytes, bytes], timeout_s: float) -> None:
     assert parse(fields).deadline == pytest.approx(RECEIVED_AT + timeout_s)
 
 
@@ -56,7 +56,7 @@
         ({b"dedupe": b"a b"}, b"SELECT 1", "field dedupe is no idempotency key"),
     ],
 )
-def test_invalid_request_is_rejected_with_the_reason(
+def test_invalid_request_raises_an_error_with_the_reason(
     fields: dict[bytes, bytes], statement: bytes, text: str
 ) -> None:
     with pytest.raises(InvalidInvokeError) as raised:
--- a/tests/protocols/test_parsers.py
+++ b/tests/protocols/test_parsers.py
@@ -1,4 +1,4 @@
-"""The parsers: any split of the bytes parses alike, and what is ambiguous or oversized is rejected."""
+"""Parsers: the split of the bytes does not matter; ambiguous, invalid and oversized messages are rejected."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def parse_http(pieces: list[bytes], parses_responses: bool) -> list[object]:
-    """The parts of the messages; adjacent pieces of a body are joined."""
+    """Return the parts of the messages, with adjacent pieces of a body joined."""
     parser = http1.Parser(parses_responses)
     parts: list[object] = []
     for part in [part for piece in pieces for part in parser.feed(piece)] + parser.end_of_stream():
@@ -43,23 +43,23 @@
 
 
 def parse_requests(pieces: list[bytes]) -> list[object]:
-    """The parts of HTTP requests."""
+    """Return the parts of HTTP requests."""
     return parse_http(pieces, parses_responses=False)
 
 
 def parse_responses(pieces: list[bytes]) -> list[object]:
-    """The parts of HTTP responses."""
+    """Return the parts of HTTP responses."""
     return parse_http(pieces, parses_responses=True)
 
 
 def parse_frames(pieces: list[bytes]) -> list[object]:
-    """The Thrift frames."""
+    """Return the Thrift frames."""
     decoder = thrift.FrameDecoder()
     return [frame for piece in pieces for frame in decoder.feed(piece)]
 
 
 def parse_arrays(pieces: list[bytes]) -> list[object]:
-    """The RESP arrays."""
+    """Return the RESP arrays."""
     parser = resp.Parser()
     return [words for piece in pieces for words in parser.feed(piece)]
 
@@ -74,14 +74,14 @@
     ],
 )
 @given(cuts=st.lists(st.integers(0, 400), max_size=12))
-def test_any_split_parses_alike(
+def test_split_of_the_bytes_does_not_change_the_result(
     parse: Callable[[list[bytes]], list[object]], stream: bytes, cuts: list[int]
 ) -> None:
-    marks = [0, *sorted(min(cut, len(stream)) for cut in cuts), len(stream)]
-    pieces = [stream[start:end] for start, end in pairwise(marks)]
+    boundaries = [0, *sorted(min(cut, len(stream)) for cut in cuts), len(stream)]
+    pieces = [stream[start:end] for start, end in pairwise(boundaries)]
     expected = parse([stream])
     assert parse(pieces) == expected
-    assert parse([stream[n : n + 1] for n in range(len(stream))]) == expected
+    assert parse([stream[index : index + 1] for index in range(len(stream))]) == expected
 
 
 def test_parsed_resp_arrays_are_those_sent() -> None:
@@ -98,34 +98,34 @@
     assert kinds == ["Head", b"abc0123456789", "End", "Head", "End", "Head", b"ok", "End"]
 
 
-HOST = b"POST / HTTP/1.1\r\nHost: x\r\n"
+REQUEST_START = b"POST / HTTP/1.1\r\nHost: x\r\n"
 
 
 @pytest.mark.parametrize(
     ("text", "status"),
     [
-        (HOST + b"Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400),
-        (HOST + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-        (HOST + b"Content-Length: +1\r\n\r\n", 400),
-        (HOST + b"Content-Length: 1, 1\r\n\r\n", 400),
-        (HOST + b"Content-Length: 9999999999999999\r\n\r\n", 400),
-        (HOST + b"Transfer-Encoding: gzip, chunked\r\n\r\n", 501),
-        (HOST + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 501),
-        (HOST + b"Transfer-Encoding: chunked\r\n\r\n-1\r\n", 400),
-        (HOST + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc", 400),
-        (HOST + b"Transfer-Encoding: chunked\r\n\r\n1\n", 400),
-        (HOST + b"Content-Length : 1\r\n\r\n", 400),
-        (HOST + b"A: b\r\n c: folded\r\n\r\n", 400),
-        (HOST + b"A: b\x00\r\n\r\n", 400),
-        (HOST + b"Host: y\r\n\r\n", 400),
+        (REQUEST_START + b"Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400),
+        (REQUEST_START + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (REQUEST_START + b"Content-Length: +1\r\n\r\n", 400),
+        (REQUEST_START + b"Content-Length: 1, 1\r\n\r\n", 400),
+        (REQUEST_START + b"Content-Length: 9999999999999999\r\n\r\n", 400),
+        (REQUEST_START + b"Transfer-Encoding: gzip, chunked\r\n\r\n", 501),
+        (REQUEST_START + b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n", 501),
+        (REQUEST_START + b"Transfer-Encoding: chunked\r\n\r\n-1\r\n", 400),
+        (REQUEST_START + b"Transfer-Encoding: chunked\r\n\r\n1\r\nabc", 400),
+        (REQUEST_START + b"Transfer-Encoding: chunked\r\n\r\n1\n", 400),
+        (REQUEST_START + b"Content-Length : 1\r\n\r\n", 400),
+        (REQUEST_START + b"A: b\r\n c: folded\r\n\r\n", 400),
+        (REQUEST_START + b"A: b\x00\r\n\r\n", 400),
+        (REQUEST_START + b"Host: y\r\n\r\n", 400),
         (b"POST / HTTP/1.1\r\n\r\n", 400),
         (b"POST / HTTP/1.0\r\nHost: x\r\n\r\n", 505),
         (b"POST /a b HTTP/1.1\r\nHost: x\r\n\r\n", 400),
-        (HOST + b"A: " + b"b" * http1.MAX_HEAD_BYTES, 431),
-        (HOST + b"A: b\r\n" * 201 + b"\r\n", 431),
+        (REQUEST_START + b"A: " + b"b" * http1.MAX_HEAD_BYTES, 431),
+        (REQUEST_START + b"A: b\r\n" * 201 + b"\r\n", 431),
     ],
 )
-def test_http_that_could_be_framed_in_two_ways_or_is_too_large_is_rejected(text: bytes, status: int) -> None:
+def test_invalid_ambiguous_or_oversized_http_is_rejected(text: bytes, status: int) -> None:
     with pytest.raises(http1.HttpError) as caught:
         http1.Parser(responses=False).feed(text)
     assert caught.value.status == status
@@ -134,33 +134,33 @@
 @pytest.mark.parametrize(
     "text", [b"*0\r\n", b"*99999\r\n", b"$1\r\n", b"*1\r\n$9999999\r\n", b"*1\r\n$1\r\nabc", b"*" * 40]
 )
-def test_resp_that_is_oversized_or_no_array_is_rejected(text: bytes) -> None:
+def test_invalid_or_oversized_resp_is_rejected(text: bytes) -> None:
     with pytest.raises(resp.RespError):
         resp.Parser().feed(text)
 
 
-HEAD = b"\x80\x01\x00\x01\x00\x00\x00\x06invoke\x00\x00\x00\x05"
+CALL_HEAD = b"\x80\x01\x00\x01\x00\x00\x00\x06invoke\x00\x00\x00\x05"
 
 
 @pytest.mark.parametrize(
     "frame",
     [
-        b"\x00\x00\x00\x06invoke\x01\x00\x00\x00\x05\x00",  # not strict
-        HEAD[:12],
-        HEAD + b"\x0b\x00\x02\x7f\xff\xff\xff",  # a length past the frame
-        HEAD + b"\x0b\x00\x02\xff\xff\xff\xff",
-        HEAD + b"\x0d\x00\x01\x0b\x0b\x7f\xff\xff\xff",  # a map of more entries than the frame has bytes
-        HEAD + b"\x0f\x00\x09\x02\x7f\xff\xff\xff",
-        HEAD + b"\x0c\x00\x09" * 40,  # nested without end
-        HEAD + b"\x00tail",
+        b"\x00\x00\x00\x06invoke\x01\x00\x00\x00\x05\x00",  # not the strict protocol
+        CALL_HEAD[:12],
+        CALL_HEAD + b"\x0b\x00\x02\x7f\xff\xff\xff",  # a string length beyond the frame
+        CALL_HEAD + b"\x0b\x00\x02\xff\xff\xff\xff",
+        CALL_HEAD + b"\x0d\x00\x01\x0b\x0b\x7f\xff\xff\xff",  # more map entries than the frame has bytes
+        CALL_HEAD + b"\x0f\x00\x09\x02\x7f\xff\xff\xff",
+        CALL_HEAD + b"\x0c\x00\x09" * 40,  # nested too deeply
+        CALL_HEAD + b"\x00tail",
     ],
 )
-def test_thrift_that_is_cut_short_or_lies_about_lengths_is_rejected(frame: bytes) -> None:
+def test_truncated_thrift_or_wrong_length_is_rejected(frame: bytes) -> None:
     with pytest.raises(thrift.ThriftError):
         thrift.parse_call(frame)
 
 
-def test_thrift_frame_that_is_oversized_is_rejected() -> None:
+def test_oversized_thrift_frame_is_rejected() -> None:
     with pytest.raises(thrift.ThriftError):
         thrift.FrameDecoder().feed((thrift.MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
 
@@ -169,5 +169,5 @@
     inner = (
         b"\x0c\x00\x07\x08\x00\x01\x00\x00\x00\x01\x00" + b"\x0f\x00\x08\x0b\x00\x00\x00\x01\x00\x00\x00\x01x"
     )
-    message = thrift.parse_call(HEAD + inner + b"\x0b\x00\x02\x00\x00\x00\x02ok\x00")
+    message = thrift.parse_call(CALL_HEAD + inner + b"\x0b\x00\x02\x00\x00\x00\x02ok\x00")
     assert (message.seqid, message.body) == (5, b"ok")
--- a/tests/upstream/test_connections.py
+++ b/tests/upstream/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections to engines, of both protocols."""
+"""Connections to engines with either protocol."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from lilacfront.upstream.resp import RespUpstream
 
 
-class EngineLeft:
-    """The context of an attempt whose engine left the list after the decision."""
+class RemovedEngineContext:
+    """The context of an attempt whose engine left the endpoint list after it was selected."""
 
     def may_begin(self) -> bool:
         return False
@@ -37,7 +37,7 @@
 
 
 class UnusedSink:
-    """A sink for an attempt that gets no response."""
+    """A sink that fails the test if it is used."""
 
     has_started = False
 
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("make_upstream", [resp_upstream, clickhouse_upstream], ids=["resp", "http"])
-def test_nothing_is_sent_to_an_engine_that_left_while_the_connection_came_up(
+def test_attempt_is_not_sent_if_its_engine_left_while_connecting(
     manual_loop: ManualLoop, make_upstream: Callable[[Loop], Upstream]
 ) -> None:
     loop = manual_loop.loop
@@ -72,7 +72,7 @@
         upstream = make_upstream(loop)
         request = Request(b"a", 0, loop.now + 4, b"select 1")
         assignment = Assignment(engine, 0, 1, loop.now + 4)
-        outcomes.append(upstream.attempt(task, assignment, request, UnusedSink(), EngineLeft()))
+        outcomes.append(upstream.attempt(task, assignment, request, UnusedSink(), RemovedEngineContext()))
         upstream.stop_sending(1, True)
 
     loop.spawn(run)
@@ -83,21 +83,21 @@
     listener.close()
 
 
-@pytest.mark.parametrize(("gateways", "most"), [(1, 6), (3, 6), (6, 3), (40, 1), (60, 1)])
-def test_the_more_gateways_there_are_the_fewer_connections_each_has_to_an_engine(
-    manual_loop: ManualLoop, gateways: int, most: int
+@pytest.mark.parametrize(("gateway_count", "max_connections"), [(1, 6), (3, 6), (6, 3), (40, 1), (60, 1)])
+def test_connection_limit_per_engine_shrinks_with_the_number_of_gateways(
+    manual_loop: ManualLoop, gateway_count: int, max_connections: int
 ) -> None:
-    upstream = RespUpstream(manual_loop.loop, (b"lookup",), 32, 1, 30, 99, gateways)
+    upstream = RespUpstream(manual_loop.loop, (b"lookup",), 32, 1, 30, 99, gateway_count)
     engine = EngineAddress(1, ("127.0.0.1", 9))
     connections = set()
-    for n in range(9):
-        if (connection := upstream._acquire(engine, b"%d" % n)) is not None:
+    for number in range(9):
+        if (connection := upstream._acquire(engine, b"%d" % number)) is not None:
             connection.waiting_attempts += 1
             connections.add(id(connection))
-    assert len(connections) == most
+    assert len(connections) == max_connections
 
 
-def test_connection_that_comes_up_when_its_engine_is_gone_is_closed(manual_loop: ManualLoop) -> None:
+def test_connection_established_after_its_engine_left_is_closed(manual_loop: ManualLoop) -> None:
     loop = manual_loop.loop
     with socket.create_server(("127.0.0.1", 0)) as listener:
         upstream = RespUpstream(loop, (b"lookup",), 32, 1, 30, 99)
@@ -109,4 +109,4 @@
         assert not upstream._pools
         assert upstream._connection_count == 0
         listener.accept()[0].close()
-        assert [fd for fd in loop._watched if fd != loop._wake_in.fileno()] == []
+        assert [descriptor for descriptor in loop._watched if descriptor != loop._wake_in.fileno()] == []
