--- a/lilacfront/frontends/clickhouse_reader.py
+++ b/lilacfront/frontends/clickhouse_reader.py
@@ -8,11 +8,12 @@
 from lilacfront.protocols import http1
 from lilacfront.sched import Task, Wait
 
-MAX_PIPELINED_BYTES = 64 << 10  # of further requests, read while one is served
-IDLE_TIMEOUT_S = 30.0  # between two requests
-HEAD_TIMEOUT_S = 2.0  # from connecting, or from the first byte of a later head, to the last byte of the head
-BODY_READ_TIMEOUT_S = 2.0  # between two reads of a body
-BODY_TIMEOUT_S = 30.0  # from the end of the head to the last byte of the body
+MAX_PIPELINED_BYTES = 64 << 10  # limit for bytes of further requests that are read while one is served
+IDLE_TIMEOUT_S = 30.0  # time between two requests
+# Time from connecting, or from the first byte of a later head, to the last byte of the head.
+HEAD_TIMEOUT_S = 2.0
+BODY_READ_TIMEOUT_S = 2.0  # time between two reads of a body
+BODY_TIMEOUT_S = 30.0  # time from the end of the head to the last byte of the body
 BODY_TOO_LARGE = "the body is larger than this gateway takes"
 
 
--- a/lilacfront/frontends/clickhouse_result.py
+++ b/lilacfront/frontends/clickhouse_result.py
@@ -39,7 +39,7 @@
         self._head = about if isinstance(about, http1.Head) else None
 
     def write(self, data: bytes) -> bool:
-        """Append a part of the result; return False if the client can't receive the result any more.
+        """Append a part of the result; return False if the client disconnected or did not read in time.
 
         Waits while more than `MAX_UNREAD_BYTES` are queued for the client.
         """
--- a/lilacfront/frontends/listener.py
+++ b/lilacfront/frontends/listener.py
@@ -19,8 +19,8 @@
 SILENT_CONNECTION_S = 0.5  # a connection without a byte this long after connecting is evicted first
 ACCEPT_RETRY_S = 0.1  # delay of the next accept after descriptors have run out
 # A connection that is being closed keeps its descriptor until its client has closed, too. Such connections do
-# not count towards the connection limit. Their number is limited to the connection limit divided by this; a
-# sixth of all descriptors is reserved for them.
+# not count towards the connection limit. Their number is limited to the connection limit divided by
+# `LINGERING_DIVISOR`, but at least `MIN_MAX_LINGERING`; a sixth of all descriptors is reserved for them.
 LINGERING_DIVISOR = 16
 MIN_MAX_LINGERING = 4
 
--- a/lilacfront/frontends/platform_connection.py
+++ b/lilacfront/frontends/platform_connection.py
@@ -14,12 +14,12 @@
 from lilacfront.sched import Task, Wait
 
 log = Log(__name__)
-FIRST_MESSAGE_TIMEOUT_S = 2.6  # from connecting to the last byte of the first message
-# From the first byte of a message to its last. Some clients take 2 s to write a message. A connection whose
-# first message is never completed has to be closed within 3 s of connecting; it is closed `MIN_BACKOFF_S`
-# after this timeout.
+FIRST_MESSAGE_TIMEOUT_S = 2.6  # time from connecting to the last byte of the first message
+# Time from the first byte of a message to its last. Some clients take 2 s to write a message. A connection
+# whose first message is never completed has to be closed within 3 s of connecting; it is closed
+# `MIN_BACKOFF_S` after this timeout.
 MESSAGE_TIMEOUT_S = 2.6
-IDLE_TIMEOUT_S = 15.0  # from the last message, with no request in flight
+IDLE_TIMEOUT_S = 15.0  # time from the last message, with no request in flight
 UNREADABLE_GRACE_S = 0.7  # time for requests in flight to finish after an unreadable message
 MAX_DROPPED_BYTES = 1 << 20  # read and dropped during `UNREADABLE_GRACE_S`
 
--- a/lilacfront/frontends/platform_requests.py
+++ b/lilacfront/frontends/platform_requests.py
@@ -37,7 +37,7 @@
     """The requests in flight on one connection, by sequence number.
 
     Attributes:
-        had_request: Whether any request ever came.
+        had_request: Whether the connection ever had a request.
         handover: The connection's transfers between processes.
     """
 
@@ -47,7 +47,7 @@
         self._stream = slot.stream
         self._deferred = deferred
         self._open: dict[int, OpenRequest] = {}
-        self._remote_seqids: set[int] = set()  # requests that the process the connection came from serves
+        self._remote_seqids: set[int] = set()  # requests served by the process that the connection came from
         self.had_request = False
         self.handover = ConnectionHandover(services.transfers, self, slot.stream)
 
--- a/lilacfront/protocols/resp.py
+++ b/lilacfront/protocols/resp.py
@@ -30,7 +30,7 @@
         self._length_ranges = {ARRAY_TYPE: words, BULK_STRING_TYPE: (0, max_bulk_bytes)}
         self._buffer = bytearray()
         self._words: list[bytes] = []
-        self._remaining_words = 0  # in the current array; 0: between two arrays
+        self._remaining_words = 0  # words missing in the current array; 0: between two arrays
         self._bulk_size: int | None = None
 
     @property
--- a/lilacfront/protocols/thrift.py
+++ b/lilacfront/protocols/thrift.py
@@ -14,8 +14,8 @@
 from lilacfront.errors import LilacfrontError
 
 MAX_FRAME_BYTES = 256 << 10
-MAX_OPEN_CALLS = 32  # on one connection
-MAX_NESTING_DEPTH = 16  # of a value in an unknown field
+MAX_OPEN_CALLS = 32  # limit for one connection
+MAX_NESTING_DEPTH = 16  # limit for values in unknown fields, which are skipped
 VERSION = 0x80010000
 VERSION_MASK = 0xFFFF0000
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
--- a/lilacfront/upstream/resp.py
+++ b/lilacfront/upstream/resp.py
@@ -17,8 +17,8 @@
 from lilacfront.upstream.resp_attempt import RespAttempt
 from lilacfront.upstream.resp_connection import RespConnection
 
-MAX_CONNECTIONS_PER_ENGINE = 18  # from all gateways together
-MAX_OWN_CONNECTIONS_PER_ENGINE = 6  # from this gateway
+MAX_CONNECTIONS_PER_ENGINE = 18  # limit for all gateways together
+MAX_OWN_CONNECTIONS_PER_ENGINE = 6  # limit for this gateway
 # Idle connections are closed at this fraction of the engines' idle timeout, so that no request is sent at the
 # moment when the engine closes the connection.
 IDLE_TIMEOUT_FRACTION = 0.8
--- a/lilacfront/upstream/resp_connection.py
+++ b/lilacfront/upstream/resp_connection.py
@@ -20,7 +20,7 @@
 )
 
 log = Log(__name__)
-ANSWER_TIMEOUT_S = 0.5  # from the first byte of an answer to its last
+ANSWER_TIMEOUT_S = 0.5  # time from the first byte of an answer to its last
 MIN_IDLE_CHECK_S = 0.05  # minimum time between two checks of the idle timeout
 LATE_ANSWER_S = 30.0  # after this long no answer to an ended attempt is expected any more
 MAX_QUEUED_BYTES = 1 << 20  # commands queued for an engine that does not read
@@ -88,7 +88,7 @@
         self._idle_timeout_s = idle_timeout_s
         self._on_close = on_close
         self._parser = resp.Parser((WORDS_PER_ANSWER, WORDS_PER_ANSWER), MAX_PAGE_BYTES)
-        self._answer_deadline = 0.0  # of the answer received in part; 0: there is none
+        self._answer_deadline = 0.0  # for the rest of a partly received answer; 0: there is none
         loop.spawn(self._run, connect_timeout_s)
 
     @property
@@ -126,7 +126,7 @@
         Args:
             call_id: Id of the request.
             final_command: Command that cancels the attempt at the engine; None if it was answered. It is sent
-                before this returns, so before another attempt of the request can begin on another engine.
+                before this returns, so before another attempt of the request can begin.
         """
         attempt = self.open_attempts.pop(call_id, None)
         now = self.loop.now
--- a/tests/frontends/test_exchanges.py
+++ b/tests/frontends/test_exchanges.py
@@ -7,7 +7,7 @@
 import pytest
 from play import EXCHANGES_DIRECTORY, SETTINGS, Dialect, Etcd, Http, Stage, ThriftResp
 
-PATHS = pytest.mark.parametrize(
+PROTOCOL_PATHS = pytest.mark.parametrize(
     "path", [pytest.param(ThriftResp, id="thrift-resp"), pytest.param(Http, id="http")]
 )
 # The first line of an exchange can ask for settings other than the defaults.
@@ -23,13 +23,13 @@
 
 
 @pytest.mark.parametrize("split", [False, True], ids=["whole", "bytewise"])
-@PATHS
+@PROTOCOL_PATHS
 @exchanges("rules")
 def test_rule(name: str, path: Callable[[], Dialect], split: bool) -> None:
     play(f"rules/{name}", path(), split)
 
 
-@PATHS
+@PROTOCOL_PATHS
 @exchanges("teams")
 def test_teams(name: str, path: Callable[[], Dialect]) -> None:
     play(f"teams/{name}", path())
--- a/tests/protocols/test_message_forms.py
+++ b/tests/protocols/test_message_forms.py
@@ -20,7 +20,7 @@
 # Messages up to this size are sent byte by byte, longer ones in pieces.
 MAX_BYTEWISE_BYTES = 1000
 PIECE_BYTES = 997
-SENDS = pytest.mark.parametrize("split", [False, True], ids=["whole", "bytewise"])
+SPLIT_MODES = pytest.mark.parametrize("split", [False, True], ids=["whole", "bytewise"])
 
 
 @contextmanager
@@ -168,7 +168,7 @@
         stage.server.loop.turn(0)
 
 
-@SENDS
+@SPLIT_MODES
 @pytest.mark.parametrize("form", REQUESTS)
 def test_request_of_any_valid_form_is_served(form: str, split: bool) -> None:
     with answering_stage() as stage:
@@ -180,7 +180,7 @@
             expect_answer(stage, client, number, ROW)
 
 
-@SENDS
+@SPLIT_MODES
 @pytest.mark.parametrize("form", ANSWERS)
 def test_answer_of_any_valid_form_is_forwarded_unchanged(form: str, split: bool) -> None:
     with answering_stage(split=split) as stage:
@@ -206,19 +206,19 @@
     clients = ("C1", "C2", "C3")
     tags = "abc"
     with answering_stage(path) as stage:
-        starts = []
-        rests = []
+        first_parts = []
+        last_parts = []
         for client, tag in zip(clients, tags, strict=True):
             stage.step(client, ">", "")
             request = stage.dialect.ask(tag, "lookup", "4000", *STATEMENT.decode().split())
             cut = 4 if path is ThriftResp else request.index(b"\r\n\r\n") + 4
-            starts.append(request[:cut])
-            rests.append(request[cut:])
-        for client, start in zip(clients, starts, strict=True):
+            first_parts.append(request[:cut])
+            last_parts.append(request[cut:])
+        for client, start in zip(clients, first_parts, strict=True):
             stage.send(stage.actors[client], start)
         for step in range(10):
             stage.wait(0.2)
-            for client, rest in zip(clients, rests, strict=True):
+            for client, rest in zip(clients, last_parts, strict=True):
                 size = -(-len(rest) // 10)
                 stage.send(stage.actors[client], rest[step * size : (step + 1) * size])
         for client, tag in zip(clients, tags, strict=True):
