--- a/lilacfront/upstream/resp.py
+++ b/lilacfront/upstream/resp.py
@@ -59,7 +59,7 @@
         self._connection_count = 0
 
     def stop_sending(self, engine: int, is_removed: bool) -> None:
-        """Withdraw the commands to an engine that are unsent; with `is_removed` also close its connections."""
+        """Withdraw the unsent commands to an engine; with `is_removed` also close its connections."""
         for connection in list(self._pools.get(engine, ())):
             connection.withdraw_unsent()
             if is_removed:
