--- a/lilacfront/config/__init__.py
+++ b/lilacfront/config/__init__.py
@@ -1,7 +1,8 @@
-"""Reads and validates the configuration and fills in defaults; no other package does.
+"""Reads the configuration files, validates them together and fills in defaults.
 
 `model`: the validated configuration. `platform_file` and `gateway_file`: parse the two files whose schemas
-belong to this package. `loader`: reads all files and validates them together. Errors name the setting.
+belong to this package. `loader`: reads all files. The router's settings and the files of teams, membership
+and recovery are parsed by the packages that use them. Errors name the setting.
 """
 
 from lilacfront.config.loader import load, parse
--- a/lilacfront/config/gateway_file.py
+++ b/lilacfront/config/gateway_file.py
@@ -35,7 +35,7 @@
 
 
 class WarehousesTable(msgspec.Struct, forbid_unknown_fields=True):
-    """[warehouses]: the protocol of the engines."""
+    """[warehouses]: the protocol of the engines and the stall timeout of their results, in seconds."""
 
     protocol: UpstreamProtocol = "resp"
     stall_s: float = 5.0
--- a/lilacfront/config/loader.py
+++ b/lilacfront/config/loader.py
@@ -88,7 +88,7 @@
     membership_file_settings = _parse_membership(membership, file)
     admin_address = _parse_admin_address(file, environment)
     passed_descriptor = _parse_passed_descriptor(environment)
-    has_other_processes = admin_address is not None or passed_descriptor is not None
+    may_have_other_processes = admin_address is not None or passed_descriptor is not None
     return Config(
         name=environment.get("PROXY_NAME", file.name),
         listen_address=_parse_listen_address(file, environment),
@@ -113,7 +113,7 @@
         recovery=_parse_recovery(recovery),
         admin_address=admin_address,
         passed_descriptor=passed_descriptor,
-        state_directory=(environment.get("TMPDIR") or None) if has_other_processes else None,
+        state_directory=(environment.get("TMPDIR") or None) if may_have_other_processes else None,
     )
 
 
--- a/lilacfront/config/model.py
+++ b/lilacfront/config/model.py
@@ -65,8 +65,8 @@
         name: Name of the front end, shared by all of its processes.
         listen_address: Address that clients of the platform's protocol connect to.
         seed: Seed of the random draws of the router and the network code.
-        max_descriptors: Maximum number of open descriptors.
-        memory_bytes: Memory that the process may use.
+        max_descriptors: Maximum number of open descriptors of all processes of the front end together.
+        memory_bytes: Memory that all processes of the front end may use together.
         change_log_address: Address of the change log, a source of the endpoint list; None if there is none.
         cached_events: Change log events up to the start of the process.
         policy: Settings of the router.
@@ -85,7 +85,7 @@
         recovery: Settings of the recovery after a power loss.
         admin_address: Address that operators connect to; None if there is none.
         passed_descriptor: Descriptor of an inherited listening socket; None if there is none.
-        state_directory: Directory shared with other processes of this front end; None if there are none.
+        state_directory: Directory that the processes of this front end share; None if there is only one.
     """
 
     name: str
--- a/lilacfront/config/platform_file.py
+++ b/lilacfront/config/platform_file.py
@@ -14,7 +14,7 @@
 
 
 class ProcessLimits(msgspec.Struct):
-    """`limits`: resources that one process may use."""
+    """`limits`: resources that all processes of one front end may use together."""
 
     cores: float = 1.0
     memory_mb: int = 192
--- a/lilacfront/core/model.py
+++ b/lilacfront/core/model.py
@@ -138,7 +138,8 @@
 
     Attributes:
         retry_after_ms: Delay before a retry, in milliseconds; 0 leaves the delay to the client.
-        wait_range_ms: Range of the queueing time of nine in ten new requests, in ms; None if unknown.
+        wait_range_ms: Bounds between which nine in ten retries would wait in the team's queue, in
+            milliseconds; None if unknown.
     """
 
     retry_after_ms: int
--- a/lilacfront/core/statement.py
+++ b/lilacfront/core/statement.py
@@ -32,7 +32,10 @@
 
 
 def table_group(statement: bytes) -> int:
-    """Return the number at the end of the first schema name of the form `name_NUMBER`; 0 if there is none."""
+    """Return the number at the end of the first schema name of the form `name_NUMBER`; 0 if there is none.
+
+    Schemas named `staging_NUMBER` are skipped. The search ends at an unterminated string, name or comment.
+    """
     for token in _TOKENS.finditer(statement):
         if token["open"]:
             return 0
--- a/lilacfront/logs.py
+++ b/lilacfront/logs.py
@@ -1,7 +1,8 @@
 """Structured logging: events with keys and values, based on the standard library's `logging`.
 
 `log.warning("change log unusable", seq=7, problem=text)` passes the event name and its values separately, so
-that collectors of JSON lines need not parse sentences. `docs/design/load.md` says why this is not structlog.
+that collectors of JSON lines need not parse sentences. `docs/design/load.md` explains why structlog is not
+used.
 """
 
 from __future__ import annotations
@@ -28,9 +29,9 @@
     def __init__(self, name: str) -> None:
         self._logger = logging.getLogger(name)
 
-    def _log(self, level: int, event: str, fields: dict[str, object], failed: bool = False) -> None:
+    def _log(self, level: int, event: str, fields: dict[str, object], with_traceback: bool = False) -> None:
         if self._logger.isEnabledFor(level):
-            self._logger.log(level, event, extra={"fields": fields}, exc_info=failed)
+            self._logger.log(level, event, extra={"fields": fields}, exc_info=with_traceback)
 
     def debug(self, event: str, **fields: object) -> None:
         """Log an event that is only needed for debugging."""
@@ -50,7 +51,7 @@
 
     def exception(self, event: str, **fields: object) -> None:
         """Log a failure with the traceback of the exception being handled."""
-        self._log(logging.ERROR, event, fields, failed=True)
+        self._log(logging.ERROR, event, fields, with_traceback=True)
 
 
 def format_value(value: object) -> str:
--- a/lilacfront/operations/admin_server.py
+++ b/lilacfront/operations/admin_server.py
@@ -23,7 +23,7 @@
 CLOSE_TIMEOUT_S = 1.0  # time for the caller to close the connection after the answer
 MIN_CONNECTIONS = 4
 MAX_CONNECTIONS = 32
-DESCRIPTORS_PER_CONNECTION = 16  # one admin connection is allowed per 16 descriptors of the process
+DESCRIPTORS_PER_CONNECTION = 16  # one admin connection is allowed per 16 descriptors of the configured limit
 
 
 class AdminRequestHandler(Protocol):
@@ -44,7 +44,7 @@
         Args:
             loop: The loop to run on.
             address: Host and port; with port 0 the system chooses a free port.
-            max_descriptors: Maximum number of descriptors of this process.
+            max_descriptors: Configured limit of open descriptors.
             handler: Executes the requests.
 
         Raises:
--- a/lilacfront/operations/directives.py
+++ b/lilacfront/operations/directives.py
@@ -19,7 +19,7 @@
 class DirectiveController:
     """Issues and merges directives and applies their effects.
 
-    The methods that do so return whether any directive is newly in force.
+    `issue`, `adopt` and `merge` return whether any directive is newly in force.
     """
 
     def __init__(self, state: OperatorState, host: OperationsHost, drains: DrainController) -> None:
--- a/lilacfront/operations/drain.py
+++ b/lilacfront/operations/drain.py
@@ -56,7 +56,7 @@
 ABORT_MARGIN_S = 0.3  # requests in flight are failed this many seconds before SIGKILL
 
 
-def shutdown_deadlines(grace_s: float, max_request_s: float) -> DrainDeadlines:
+def shutdown_deadlines(grace_s: float, last_answer_s: float) -> DrainDeadlines:
     """Return the deadlines of a shutdown without a successor.
 
     New requests on connections that are never idle are rejected at the end, so that every request gets an
@@ -64,13 +64,13 @@
 
     Args:
         grace_s: Seconds from SIGTERM during which new connections and requests may still arrive.
-        max_request_s: Seconds from SIGTERM within which all requests have to be answered.
+        last_answer_s: Seconds from SIGTERM within which all requests have to be answered.
     """
     return DrainDeadlines(
         idle_s=grace_s,
         first_request_s=0.0,
-        reject_s=max_request_s,
-        abort_s=max_request_s,
+        reject_s=last_answer_s,
+        abort_s=last_answer_s,
         recent_request_s=math.inf,
     )
 
--- a/lilacfront/operations/draining.py
+++ b/lilacfront/operations/draining.py
@@ -1,4 +1,4 @@
-"""Starts and ends drains of this process, and opens and closes its client listeners."""
+"""Starts and ends drains of this process, and controls whether it accepts client connections."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         """Close the client connections as the drain decides; None ends the drain."""
 
     def set_accepting(self, accepting: bool) -> None:
-        """Open the client listeners, or close them so that another process accepts the connections."""
+        """Start or stop accepting; while stopped, other processes that share the socket may accept."""
 
     def transfer_connections(self, successor: TransferChannel) -> None:
         """Transfer each client connection to the successor as soon as possible."""
@@ -33,7 +33,7 @@
         self._shutting_down = False
 
     def set_accepting(self, accepting: bool) -> None:
-        """Open or close the client listeners."""
+        """Start or stop accepting client connections."""
         if accepting is not self._accepting:
             self._accepting = accepting
             self._target.set_accepting(accepting)
@@ -53,7 +53,7 @@
         self._shutting_down = True
 
     def hand_over(self, successor: TransferChannel | None, kill_after_s: float) -> None:
-        """Close the listeners, and drain while the connections are transferred.
+        """Stop accepting client connections, and drain while those that are open are transferred.
 
         Args:
             successor: Channel to the process that takes over; None if there is no channel. The connections
--- a/lilacfront/operations/host.py
+++ b/lilacfront/operations/host.py
@@ -1,4 +1,4 @@
-"""Interface of the operations to the rest of the process."""
+"""Interface of the operations package to the rest of the process."""
 
 from __future__ import annotations
 
--- a/lilacfront/operations/lifecycle.py
+++ b/lilacfront/operations/lifecycle.py
@@ -7,7 +7,8 @@
 
 from lilacfront.sched import Loop
 
-CATCH_UP_TIMEOUT_S = 2.0  # seconds after the start within which the change log has to catch up
+# Seconds after the start during which the change log has to reach the event that another process has applied.
+CATCH_UP_TIMEOUT_S = 2.0
 
 
 class LifecycleStage(Enum):
@@ -51,7 +52,7 @@
         return not self._source.is_recovering() and self._is_caught_up()
 
     def _is_caught_up(self) -> bool:
-        """Return whether the endpoint list is current and has has_required_seq the required event.
+        """Return whether the endpoint list is current and the change log has reached the required event.
 
         The event is required only once, and only until `CATCH_UP_TIMEOUT_S` after the start, because it never
         arrives if the change log has been renumbered.
--- a/lilacfront/operations/maintenance.py
+++ b/lilacfront/operations/maintenance.py
@@ -49,7 +49,10 @@
         return replace(update, endpoints=tuple(self._overlay(endpoint) for endpoint in update.endpoints))
 
     def suspend(self, engine: int, at_us: int) -> EndpointList | None:
-        """Suspend an engine; returns an update of its endpoint, or None if nothing changes."""
+        """Suspend an engine; returns an update of its endpoint.
+
+        Returns None if the engine is not listed, or is already suspended since another time.
+        """
         self._restored.pop(engine, None)
         if self._suspended_at_us.setdefault(engine, at_us) != at_us:
             return None
--- a/lilacfront/operations/process_group.py
+++ b/lilacfront/operations/process_group.py
@@ -77,7 +77,7 @@
 
     @property
     def is_joined(self) -> bool:
-        """Whether the processes share a state directory."""
+        """Whether this process has a state directory, which it shares with the others."""
         return self._directory is not None
 
     def start(self) -> None:
--- a/lilacfront/operations/service.py
+++ b/lilacfront/operations/service.py
@@ -232,9 +232,9 @@
             self.group.publish()
 
     def on_processes_changed(self) -> None:
-        """Divide the limits by the number of running processes, and open or close the client listeners.
+        """Divide the limits by the number of running processes, and start or stop accepting clients.
 
-        The listeners stay closed while this process is starting and another one is ready.
+        No clients are accepted while this process is starting and another one is ready.
         """
         stages = self.group.registry.stages()
         running = 1 + len(stages)
--- a/lilacfront/operations/state_writer.py
+++ b/lilacfront/operations/state_writer.py
@@ -63,7 +63,7 @@
         self._wake.set()
 
     def scans(self) -> Iterator[DirectoryScan]:
-        """Yield the scans since the last call that found a change."""
+        """Yield the scans since the last call of this method, only those that found a change."""
         while not self._scans.empty():
             yield self._scans.get()
 
--- a/lilacfront/server/__init__.py
+++ b/lilacfront/server/__init__.py
@@ -1,8 +1,8 @@
 """Assembles the parts of a process and runs them until SIGTERM.
 
 `builders`: creates parts from the configuration. `server`: the process. `endpoint_feed`, `client_listeners`,
-`peer_connection`, `operations_host`, `recovery_wiring`: connect the parts. `config_reload`: SIGHUP.
-`graceful_shutdown`: SIGTERM.
+`peer_connection`, `operations_host`, `recovery_wiring`: connect the parts. `start`: errors at the start and
+the inherited socket. `config_reload`: SIGHUP. `graceful_shutdown`: SIGTERM. `memory`: releases free memory.
 """
 
 from lilacfront.server.server import Server
--- a/lilacfront/server/builders.py
+++ b/lilacfront/server/builders.py
@@ -26,9 +26,10 @@
     Attributes:
         max_upstream_connections: Maximum number of connections to engines, a third of the descriptors.
         max_client_connections: Maximum number of connections of one listener. All listeners together get half
-            of the descriptors: a third for clients that are served, and more for clients to be rejected.
+            of the descriptors: a third for clients that are served, and the rest for clients to be rejected.
         memory_bytes: Memory that the process may use.
-        max_queued_bytes: Maximum size of the outgoing data queued on all connections together.
+        max_queued_bytes: Maximum size of the outgoing data queued on all connections together, an eighth of
+            the memory.
     """
 
     max_upstream_connections: int
--- a/lilacfront/server/graceful_shutdown.py
+++ b/lilacfront/server/graceful_shutdown.py
@@ -48,8 +48,8 @@
         self._grace_end = began_at + GRACE_PERIOD_S
         kill_with_successor_s = _kill_after_s(server.config, MAX_KILL_DEADLINE_WITH_SUCCESSOR_S)
         kill_alone_s = _kill_after_s(server.config, MAX_KILL_DEADLINE_S)
-        drain_alone = shutdown_deadlines(GRACE_PERIOD_S, kill_alone_s - KILL_MARGIN_S)
-        is_handed_over = server.operations.begin_shutdown(kill_with_successor_s, drain_alone)
+        deadlines_alone = shutdown_deadlines(GRACE_PERIOD_S, kill_alone_s - KILL_MARGIN_S)
+        is_handed_over = server.operations.begin_shutdown(kill_with_successor_s, deadlines_alone)
         if server.membership is not None:
             if is_handed_over:
                 server.membership.stop()
--- a/lilacfront/server/memory.py
+++ b/lilacfront/server/memory.py
@@ -1,4 +1,4 @@
-"""Returns memory that the C library keeps free to the system."""
+"""Returns memory that the program has freed, but the C library still holds, to the operating system."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def release_free_memory() -> None:
-    """Make the C library return free pages to the system.
+    """Make the C library return free pages to the operating system.
 
     The saved stacks of waiting tasks have many sizes and are allocated and freed with connections. This
     fragments the heap, which would grow by megabytes over days.
--- a/lilacfront/server/operations_host.py
+++ b/lilacfront/server/operations_host.py
@@ -68,7 +68,7 @@
         return recovery is not None and recovery.unavailable
 
     def on_directive(self, directive: OperatorDirective) -> None:
-        """Store a directive durably, so that it survives a power loss."""
+        """Store a directive durably if recovery is on, so that it survives a power loss."""
         if self._server.recovery is not None:
             self._server.recovery.record_directive(directive)
 
--- a/lilacfront/server/server.py
+++ b/lilacfront/server/server.py
@@ -121,7 +121,10 @@
         self.clients.set_max_connections(limits.max_client_connections)
 
     def set_drain(self, drain: Drain | None) -> None:
-        """Close client connections by the rules of `drain`; with None, keep them open."""
+        """Close client connections by the rules of `drain`; with None, keep them open.
+
+        Except during a shutdown, the process also leaves the membership while it drains, and then rejoins.
+        """
         if self.membership is not None and not self.shutdown.has_begun:
             if drain is None:
                 self.membership.rejoin()
--- a/tests/operations/test_draining.py
+++ b/tests/operations/test_draining.py
@@ -68,11 +68,11 @@
     assert target.drains == [Drain(100.0, SHUTDOWN_DEADLINES)]
 
 
-def test_hand_over_without_a_channel_closes_the_listeners_and_drains(
+def test_hand_over_without_a_channel_stops_accepting_and_drains(
     controller: DrainController, target: RecordingTarget
 ) -> None:
     controller.begin_shutdown()
     controller.hand_over(None, 5.7)
-    controller.set_accepting(False)  # already closed, so the target is not called again
+    controller.set_accepting(False)  # stopped already, so the target is not called again
     assert target.accepting == [False]
     assert target.drains == [Drain(100.0, handover_deadlines(5.7, transferred=False))]
--- a/tests/operations/test_service.py
+++ b/tests/operations/test_service.py
@@ -154,11 +154,11 @@
     peer.bind(("127.0.0.1", 0))
     peers = (peer.getsockname(),)
     old = DatagramLink(
-        loop, ("127.0.0.1", 0), peers, lambda _place, data: received.append(("old", data)), True
+        loop, ("127.0.0.1", 0), peers, lambda _peer, data: received.append(("old", data)), True
     )
     with pytest.raises(OSError, match="Address already in use"):
-        DatagramLink(loop, old.address, peers, lambda _place, _data: None)  # not shared
-    new = DatagramLink(loop, old.address, peers, lambda _place, data: received.append(("new", data)), True)
+        DatagramLink(loop, old.address, peers, lambda _peer, _data: None)  # not shared
+    new = DatagramLink(loop, old.address, peers, lambda _peer, data: received.append(("new", data)), True)
 
     def send(data: bytes) -> None:
         count = len(received)
--- a/tests/operations/test_state_directory.py
+++ b/tests/operations/test_state_directory.py
@@ -74,16 +74,17 @@
 def test_invalid_files_are_ignored_and_logged_once(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, make_state: MakeState
 ) -> None:
-    (tmp_path / "lilacfront.n0.x.json").write_bytes(b"\0" * 100)
-    (tmp_path / "lilacfront.n0.y.json").symlink_to("/etc/hostname")
-    (tmp_path / "lilacfront.n0.z.json").write_bytes(b"x" * (MAX_FILE_BYTES + 1))
-    os.mkfifo(tmp_path / "lilacfront.n0.w.json")
-    (tmp_path / "lilacfront.n0.v.json").write_bytes(encode_state(make_state("u")))
+    (tmp_path / "lilacfront.n0.malformed.json").write_bytes(b"\0" * 100)
+    (tmp_path / "lilacfront.n0.symlink.json").symlink_to("/etc/hostname")
+    (tmp_path / "lilacfront.n0.too-long.json").write_bytes(b"x" * (MAX_FILE_BYTES + 1))
+    os.mkfifo(tmp_path / "lilacfront.n0.fifo.json")
+    (tmp_path / "lilacfront.n0.renamed.json").write_bytes(encode_state(make_state("other")))
     directory = StateDirectory(str(tmp_path), "n0", "a")
     assert directory.scan() == []
     assert not any(process.state for process in directory.processes.values())
     logged = [str(getattr(record, "fields", {}).get("file")) for record in caplog.records]
-    assert sorted(logged) == [f"lilacfront.n0.{token}.json" for token in "vwxyz"]
+    tokens = ("fifo", "malformed", "renamed", "symlink", "too-long")
+    assert sorted(logged) == [f"lilacfront.n0.{token}.json" for token in tokens]
 
 
 def test_missing_directory_disables_state_sharing(tmp_path: Path, make_state: MakeState) -> None:
