--- a/lilacfront/decisions/actions.py
+++ b/lilacfront/decisions/actions.py
@@ -16,7 +16,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer: the request was rejected, and the client may safely retry it."""
+    """Final answer: the request was rejected, and the client may safely retry it.
+
+    The client should wait for `retry_after_us` before a retry; 0 means that no wait is suggested.
+    """
 
     request: int
     retry_after_us: int = 0
--- a/lilacfront/decisions/admission.py
+++ b/lilacfront/decisions/admission.py
@@ -30,7 +30,10 @@
         self._lifecycle = lifecycle
 
     def prepare(self, request: PendingRequest) -> None:
-        """Set the value density of a new request; a request over its tenant's quota may not wait."""
+        """Set the value density of a new request.
+
+        A request over its tenant's quota may not wait, and its value density is reduced.
+        """
         state, received, estimate = self._state, request.received, request.estimate
         usual_work_us = estimate.uncontended_work_us if state.is_pooled else estimate.work_us
         work_us = float(received.estimated_work_us or 0) or usual_work_us
--- a/lilacfront/decisions/attempt_evaluation.py
+++ b/lilacfront/decisions/attempt_evaluation.py
@@ -57,7 +57,11 @@
     def _update_limits(
         self, request: PendingRequest, engine: Engine, event: AttemptEnded, duration_us: int
     ) -> None:
-        """Update the limit of the engine and the pooled limit from the latency of the attempt."""
+        """Update the limit of the engine and the pooled limit from the latency of the attempt.
+
+        Only successful attempts count, and attempts that timed out or were cancelled at a latency ratio above
+        both the engine's smoothed ratio and INITIAL_RATIO.
+        """
         ratio = self._latency_ratio(request, engine, event, duration_us)
         concurrency, threads = engine.concurrency, request.spec.threads
         if event.result in ENDED_BEFORE_RESPONSE:
--- a/lilacfront/decisions/attempt_monitor.py
+++ b/lilacfront/decisions/attempt_monitor.py
@@ -14,12 +14,12 @@
 from lilacfront.decisions.state import Attempt, Engine, PendingRequest, RouterState
 from lilacfront.membership.outlier_gossip import OutlierReason
 
-MAX_MISSING_RESPONSES = 6.0  # expected responses not received at which an engine counts as silent
+MAX_MISSING_RESPONSES = 6.0  # number of overdue responses at which an engine counts as silent
 MAX_MISSING_PER_ATTEMPT = 3.0  # cap for one attempt, which may simply be long
 MAX_MISSED_NOTIFICATIONS = 2.5  # notification intervals without a response before an engine counts as silent
 RETRY_TIME_FACTOR = 1.5  # time needed before the deadline for a retry, in likely run times
-MIN_PROGRESS_FRACTION = 0.02  # lowest reported progress from which the run time is extrapolated
-MIN_PROGRESS_TIME_FACTOR = 0.5  # shortest elapsed time for extrapolation, in likely run times
+MIN_PROGRESS_FRACTION = 0.02  # progress above which the remaining run time is extrapolated
+MIN_PROGRESS_TIME_FACTOR = 0.5  # elapsed time needed for that, in likely run times
 RESCHEDULE_TOKENS_PER_REQUEST = 0.01  # enough to find out whether rescheduling helps
 MAX_RESCHEDULE_TOKENS = 12.0
 MAX_RETRY_BUDGET_FRACTION = 0.5  # the rest of the retry budget is reserved for failed attempts
@@ -87,7 +87,11 @@
             engine.last_response_us = self._state.now_us
 
     def cancel_for_retry(self, request: PendingRequest, attempt: Attempt) -> bool:
-        """Cancel an attempt if a retry is safe, within budget and likely to end before the deadline."""
+        """Cancel an attempt if a retry is safe, within budget and likely to end before the deadline.
+
+        Returns:
+            Whether the attempt was cancelled.
+        """
         limits = self._state.settings.limits
         retry_end_us = self._state.now_us + RETRY_TIME_FACTOR * request.likely_run_time_us()
         if request.is_answered or attempt.is_cancelled or attempt.is_streaming:
@@ -110,9 +114,10 @@
         return request.is_idempotent
 
     def _move_from_blocked_engine(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Cancel an attempt that waits for another client's data load, and block its table group there.
+        """Block the table group of an attempt that waits for another client's data load on this engine.
 
-        The attempt has done no work yet, so a retry elsewhere wastes none.
+        The block lasts half the likely run time of a data load. The attempt is cancelled if another engine
+        has capacity. It has done no work yet, so a retry elsewhere wastes none.
         """
         estimates = self._state.class_estimates
         load_us = max((e.run_time_us for e in estimates if e.spec.is_load), default=0.0)
@@ -127,7 +132,8 @@
 
         That is so if responses are expected by the likely run times and none arrives. An overloaded engine is
         slow as well, so the silence must also last several times the shortest likely run time. An engine that
-        misses its progress notifications counts as silent, too.
+        misses its progress notifications counts as silent, too. An engine whose ejection has not ended is
+        not reported as silent again.
         """
         now_us = self._state.now_us
         silence_us = now_us - engine.last_response_us
@@ -153,9 +159,9 @@
         if self._state.is_pooled or request.was_rescheduled or self.reschedule_tokens < 1.0:
             return False
         likely_us = request.likely_run_time_us()
-        return self._expected_run_time_us(attempt, likely_us) > OVERDUE_FACTOR * likely_us
+        return self._remaining_or_elapsed_us(attempt, likely_us) > OVERDUE_FACTOR * likely_us
 
-    def _expected_run_time_us(self, attempt: Attempt, likely_us: float) -> int:
+    def _remaining_or_elapsed_us(self, attempt: Attempt, likely_us: float) -> int:
         """Return the remaining run time extrapolated from the reported progress, else the elapsed time."""
         elapsed_us = self._state.now_us - attempt.sent_us
         if attempt.progress > MIN_PROGRESS_FRACTION and elapsed_us > MIN_PROGRESS_TIME_FACTOR * likely_us:
--- a/lilacfront/decisions/concurrency_limit.py
+++ b/lilacfront/decisions/concurrency_limit.py
@@ -7,9 +7,10 @@
 # AM-C's gamma of 0.1 (thesis, 7.3.1) times its ceiling of 8 s, since latency is a ratio here, not seconds.
 UPDATE_GAIN = 0.8
 MAX_SAMPLE_RATIO = 2.0  # cap, as a single slow query may be slow by itself
-RATIO_SMOOTHING = 0.5  # weight of one turn, in which all threads of the limit end once
-MAX_GROWTH_PER_TURN = 1.25
-MIN_SHRINK_PER_TURN = 0.5  # bounded because the ratio lags by about one turn
+# A turn is a sequence of ended attempts whose threads add up to the limit.
+RATIO_SMOOTHING = 0.5  # weight of the attempts of one turn in the smoothed ratio
+MAX_STEP_PER_TURN = 1.25  # largest factor by which the limit changes in one turn
+MIN_STEP_PER_TURN = 0.5  # smallest such factor; bounded because the ratio lags by about one turn
 INITIAL_THREADS_PER_CORE = 3.0  # sum over all gateways
 NO_RATIO = -1.0
 
@@ -50,7 +51,7 @@
         self.peak_used = max(self.peak_used, self.used)
 
     def release(self, threads: int) -> None:
-        """Return the threads of an attempt that ended."""
+        """Stop counting the threads of an attempt that ended."""
         self.used -= threads
 
     def update(
@@ -65,8 +66,8 @@
         """Update the limit from one attempt: the new limit is N / (1 + gain (L - 1)) (thesis, eq. 6.1).
 
         L is the smoothed latency ratio. N is the current limit if it was full, else the peak use since the
-        last update. A step is spread over one turn, in which all threads of the limit end once, because L
-        reflects a change one turn later.
+        last update; for the pooled limit, N is always the current limit. The limit rises only if it was full.
+        A step is spread over the attempts of one turn, because L reflects a change one turn later.
 
         Args:
             ratio: Ratio of observed to target latency of the attempt.
@@ -80,7 +81,7 @@
             self.latency_ratio = initial_ratio
         self.latency_ratio += RATIO_SMOOTHING * weight * (min(ratio, MAX_SAMPLE_RATIO) - self.latency_ratio)
         step = 1.0 / (1.0 + UPDATE_GAIN * (self.latency_ratio - 1.0))
-        step = min(MAX_GROWTH_PER_TURN, max(MIN_SHRINK_PER_TURN, step)) ** weight
+        step = min(MAX_STEP_PER_TURN, max(MIN_STEP_PER_TURN, step)) ** weight
         if step >= 1.0 and not self.was_full:
             return
         base = self.limit
--- a/lilacfront/decisions/endpoint_table.py
+++ b/lilacfront/decisions/endpoint_table.py
@@ -8,8 +8,8 @@
 from lilacfront.decisions.slow_start import SlowStart
 from lilacfront.decisions.state import Engine, RouterState
 
-MIN_POLL_BACKOFF_US = 500_000
-MAX_POLL_BACKOFF_US = 40_000_000
+POLL_BACKOFF_BASE_US = 500_000  # doubled by each failed poll, including the first
+DEFAULT_POLL_DEADLINE_US = 40_000_000
 MAX_POLL_BACKOFF_DOUBLINGS = 6
 
 
@@ -29,8 +29,8 @@
         """
         self._failed_polls += 1
         poll_deadline_us = self._state.settings.rules.poll_deadline_us
-        max_us = (poll_deadline_us or MAX_POLL_BACKOFF_US) // 2
-        return min(MIN_POLL_BACKOFF_US << min(self._failed_polls, MAX_POLL_BACKOFF_DOUBLINGS), max_us)
+        max_us = (poll_deadline_us or DEFAULT_POLL_DEADLINE_US) // 2
+        return min(POLL_BACKOFF_BASE_US << min(self._failed_polls, MAX_POLL_BACKOFF_DOUBLINGS), max_us)
 
     def apply(self, event: EndpointList) -> None:
         """Add, update and remove engines by a received endpoint list."""
--- a/lilacfront/decisions/engine_capacity.py
+++ b/lilacfront/decisions/engine_capacity.py
@@ -35,7 +35,9 @@
     def _is_ejected_for(self, engine: Engine, request: PendingRequest) -> bool:
         """Return whether an ejection by this gateway or its peers excludes the request from the engine.
 
-        An idempotent request of the fewest threads may run as a trial.
+        A trial is an idempotent request of a class with the fewest threads. An engine that this gateway
+        ejected serves one trial at a time after the ejection has ended. An engine that peers reported as an
+        outlier serves trials only.
         """
         state = self._state
         is_trial = request.is_idempotent and request.spec.threads <= state.min_class_threads
--- a/lilacfront/decisions/events.py
+++ b/lilacfront/decisions/events.py
@@ -63,7 +63,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """An engine's load report; values that it does not report are None."""
+    """An engine's load report; values that it does not report are None.
+
+    Attributes:
+        cpu_utilization: Fraction of the engine's cores that are busy.
+        in_flight: Number of running queries.
+        queued: Number of queued queries.
+    """
 
     cpu_utilization: float | None = None
     in_flight: float | None = None
--- a/lilacfront/decisions/load_gossip.py
+++ b/lilacfront/decisions/load_gossip.py
@@ -23,7 +23,7 @@
 from lilacfront.membership.engine_numbers import SHORT_MASK, engines_by_short_number
 
 VERSION = 1
-ENTRY = struct.Struct(">IBB")  # last 32 bits of the engine's number, age in AGE_UNIT_US, load
+ENTRY = struct.Struct(">IBB")  # last 32 bits of the engine's number, age in AGE_UNIT_US, encoded load
 MAX_ENTRIES = (MAX_DATAGRAM_BYTES - 1) // ENTRY.size
 AGE_UNIT_US = 50_000
 MAX_AGE_UNITS = 200  # older reports say too little about the current load
@@ -89,7 +89,7 @@
         entries = b""
         freshest = nlargest(MAX_ENTRIES, self._samples.items(), key=lambda sample: sample[1][1])
         for engine, (load, at_us) in freshest:
-            age = max(0, now - at_us) // AGE_UNIT_US + 1  # rounded up: never younger than on arrival
+            age = max(0, now - at_us) // AGE_UNIT_US + 1  # rounded up, so that a report never looks newer
             if age <= MAX_AGE_UNITS and load >= 0:
                 units = min(MAX_LOAD_UNITS, round(load * LOAD_UNITS))
                 entries += ENTRY.pack(engine & SHORT_MASK, age, units)
--- a/lilacfront/decisions/load_view.py
+++ b/lilacfront/decisions/load_view.py
@@ -16,7 +16,7 @@
     """Tracks the load per core of each engine.
 
     Attributes:
-        mean_load: Mean load per core of the engines with a load report.
+        mean_load: Mean load per core of the engines with a load report, each counted up to a cap.
         report_count: Number of engines with a load report.
     """
 
@@ -47,12 +47,12 @@
         if report is None:
             return False
         if report.in_flight is not None:
-            busy_cores = report.in_flight
+            load = report.in_flight
         elif report.cpu_utilization is not None:
-            busy_cores = report.cpu_utilization * engine.cores
+            load = report.cpu_utilization * engine.cores
         else:
             return False
-        self.record(engine, busy_cores / engine.cores)
+        self.record(engine, load / engine.cores)
         return True
 
     def record_slow_attempt(self, engine: Engine, duration_us: int, likely_us: float) -> None:
@@ -76,8 +76,8 @@
         """Return the estimated load per core of an engine.
 
         This is the number of this gateway's threads per core. If limits are pooled, the gateway's few threads
-        say little about the load, so the engine's last report is added. With its age the report is replaced
-        by the mean load, so that no engine is excluded for ever.
+        say little about the load, so the engine's last report is added. As the report ages, the mean load
+        gradually replaces it, so that no engine is excluded for ever.
         """
         own = engine.concurrency.used / engine.cores
         if not self._state.is_pooled:
--- a/lilacfront/decisions/outlier_ejection.py
+++ b/lilacfront/decisions/outlier_ejection.py
@@ -8,9 +8,9 @@
 from lilacfront.membership.outlier_gossip import OutlierReason
 
 MAX_ERROR_RATE = 0.3  # excess over the mean error rate of the other engines above which an engine is ejected
-MIN_ERROR_WEIGHT = 0.2  # smoothing weight of one response; at this weight three errors eject an engine
-MAX_ERROR_WEIGHT = 0.5  # at this weight one error ejects an engine
-ERROR_WINDOW_US = 5_000_000  # the weight of a response is the interval between responses over this window
+MIN_ERROR_WEIGHT = 0.2  # smoothing weight of one response; two errors in a row exceed MAX_ERROR_RATE
+MAX_ERROR_WEIGHT = 0.5  # at this weight one error exceeds MAX_ERROR_RATE
+ERROR_WINDOW_US = 5_000_000  # the weight of a response is the interval between responses, divided by this
 MIN_EJECTION_US = 500_000
 MAX_EJECTION_US = 4_000_000
 MAX_EJECTED_FRACTION = 0.5  # of all engines; above it, ejected engines are used as a last resort
--- a/lilacfront/decisions/pooled_limit.py
+++ b/lilacfront/decisions/pooled_limit.py
@@ -92,10 +92,10 @@
         return False
 
     def value_density_excess(self, request: PendingRequest) -> float:
-        """Return by what fraction the request's value density exceeds those of the classes, on average.
+        """Return by what fraction the value densities of the classes are below the request's, on average.
 
-        The result is between 0 and 1. Ranks are not used: of classes with nearly equal density, the lowest
-        would never be admitted while the others are in debt.
+        The result is between 0 and 1; a class of higher density counts as 0. Ranks are not used: of classes
+        with nearly equal density, the lowest would never be admitted while the others are in debt.
         """
         density = max(MIN_VALUE_DENSITY, request.value_density)
         estimates = self._state.class_estimates
@@ -142,7 +142,10 @@
             self.threads_per_request = thread_time_us / total_us
 
     def threads_per_core(self) -> float:
-        """Return the limit per core of all gateways together, extrapolated from this gateway's share."""
+        """Return the limit per core of all gateways together, extrapolated from this gateway's share.
+
+        The result is at most INITIAL_THREADS_PER_CORE.
+        """
         return min(
             INITIAL_THREADS_PER_CORE, self.concurrency.limit / self.share() / self._state.effective_cores
         )
--- a/lilacfront/decisions/request_lifecycle.py
+++ b/lilacfront/decisions/request_lifecycle.py
@@ -66,7 +66,10 @@
             del self._state.active_engines[engine.number]
 
     def answer(self, request: PendingRequest) -> None:
-        """Give the final answer to a request without a result: `Reject` if a retry is safe, else `Fail`."""
+        """Give the final answer to a request without a result.
+
+        The answer is `Reject` if a retry is safe and the deadline has not passed, else `Fail`.
+        """
         if request.is_answered:
             return
         state, number = self._state, request.received.request
@@ -77,7 +80,10 @@
         self.close(request)
 
     def close(self, request: PendingRequest) -> None:
-        """Mark the request as answered, cancel its running attempt and remove the request."""
+        """Mark the request as answered, cancel its running attempt unless it streams, and remove the request.
+
+        If the attempt still runs, the request is removed when the attempt ends.
+        """
         request.is_answered = True
         attempt = request.running_attempt()
         if attempt is not None and not attempt.is_streaming:
@@ -103,7 +109,10 @@
         return min(max_us, int(request.estimate.run_time_us))
 
     def _priority(self, request: PendingRequest) -> int:
-        """Return the priority on the engine, by the rank of the class in value density."""
+        """Return the priority on the engine: MAX_PRIORITY for the class of the highest value density.
+
+        Each denser class lowers the priority by one, down to MIN_PRIORITY.
+        """
         density = request.spec.priority_weight / request.estimate.work_us
         denser = sum(e.spec.priority_weight / e.work_us > density for e in self._state.class_estimates)
         return max(MIN_PRIORITY, MAX_PRIORITY - denser)
--- a/lilacfront/decisions/router.py
+++ b/lilacfront/decisions/router.py
@@ -4,8 +4,8 @@
 - Choice of an engine for a request: `admission`, `engine_selection`, `engine_capacity`, `send_rules`.
 - Concurrency limits: `concurrency_limit`, `pooled_limit`.
 - Retries, ordering and quotas: `retry_policy`, `ordered_keys`, `tenant_quota`.
-- Observed load, latency and errors: `load_view`, `outlier_ejection`, `attempt_monitor`,
-  `attempt_evaluation`.
+- Observed load, latency and errors: `load_view`, `load_gossip`, `table_group_demand`, `estimates`,
+  `outlier_ejection`, `attempt_monitor`, `attempt_evaluation`.
 - Attempts and final answers: `request_lifecycle`.
 """
 
@@ -237,7 +237,10 @@
             self._lifecycle.answer(request)
 
     def _step(self) -> None:
-        """Check warming engines, silent engines and waiting requests; runs every STEP_INTERVAL_US."""
+        """Check warming engines, silent engines and waiting requests.
+
+        Runs every STEP_INTERVAL_US while there are requests. If it runs late, this gateway has stalled.
+        """
         state = self.state
         self._is_step_scheduled = False
         if state.warming_engines and state.now_us - self.pooled_limit.resized_at_us >= RESIZE_INTERVAL_US:
--- a/lilacfront/decisions/settings.py
+++ b/lilacfront/decisions/settings.py
@@ -40,10 +40,10 @@
     latency_objective_us: int
     deadline_us: int
     priority_weight: float
-    threads: int
+    threads: int  # threads that a query of the class uses on its engine
     idempotency: Idempotency
-    latency_objective_stretch: float = 0.0
-    late_weight: float = 0.0
+    latency_objective_stretch: float = 0.0  # added to the objective, in run times on an idle engine
+    late_weight: float = 0.0  # if 0, an answer after the latency objective is of no use
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window_us: int = 0
     is_ordered: bool = False
@@ -51,7 +51,7 @@
     allowed_machine_types: tuple[int, ...] | None = None
     is_streamed: bool = False
     is_load: bool = False  # a data load, which locks its table group on its engine while it runs
-    waits_for_loads: bool = False
+    waits_for_loads: bool = False  # not sent to engines on which a data load locks its table group
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,12 +60,13 @@
 
     answer_slack_us: int = 0
     drain_deadline_us: int = 0
+    # Work per overload window that a warming engine can take, in multiples of its capacity at that time.
     overload_factor: float | None = None  # None: cold engines don't fail under load
-    cold_capacity_fraction: float = 1.0
+    cold_capacity_fraction: float = 1.0  # fraction of its capacity that an engine has at its start
     overload_window_us: int = 0
-    warm_up_us: int = 0
+    warm_up_us: int = 0  # time from an engine's start to its full capacity
     poll_deadline_us: int | None = None
-    ordering_gap_us: int = 0
+    ordering_gap_us: int = 0  # pause of an ordering key after an attempt that may still run
     retry_budget_window_us: int | None = None  # None: retries are unlimited
     retry_budget_min: float = 0.0
     retry_budget_ratio: float = 0.0
--- a/tests/decisions/test_attempt_monitor.py
+++ b/tests/decisions/test_attempt_monitor.py
@@ -10,6 +10,7 @@
     LONG,
     SECOND_US,
     SHORT,
+    STEP_TIMER,
     end_attempt,
     end_with_load,
     endpoints,
@@ -103,7 +104,9 @@
     router = make_router(policy_settings(), endpoints(2))
     now = serve_in_sequence(router, 0, 40, 100_000)
     assert [s for n in range(20) for s in forwards(receive_request(router, now, n, table_group=n))]
-    assert not [a for a in router.handle(now + 3 * SECOND_US, TimerFired(0)) if isinstance(a, CancelAttempt)]
+    assert not [
+        a for a in router.handle(now + 3 * SECOND_US, TimerFired(STEP_TIMER)) if isinstance(a, CancelAttempt)
+    ]
 
 
 def test_a_request_is_rescheduled_once_and_earns_a_token_only_if_it_ends_in_time() -> None:
@@ -155,7 +158,7 @@
     router.next_step_at_us = now + 600_000
     for engine in router.state.active_engines.values():
         engine.last_response_us = now + 600_000  # so that it is not silent
-    actions = router.handle(now + 600_000, TimerFired(0))
+    actions = router.handle(now + 600_000, TimerFired(STEP_TIMER))
     assert bool([a for a in actions if isinstance(a, CancelAttempt)]) is is_cancelled
 
 
@@ -178,5 +181,5 @@
         receive_request(router, 100 * SECOND_US, 1, class_index=1, time_left_us=20 * SECOND_US)
     )
     router.next_step_at_us = 100 * SECOND_US + silence_us
-    router.handle(100 * SECOND_US + silence_us, TimerFired(0))
+    router.handle(100 * SECOND_US + silence_us, TimerFired(STEP_TIMER))
     assert (send.engine in router.state.ejected_engines) is is_ejected
--- a/tests/decisions/test_ordered_keys.py
+++ b/tests/decisions/test_ordered_keys.py
@@ -7,6 +7,7 @@
 from helpers import (
     RULES,
     SHORT,
+    STEP_TIMER,
     end_attempt,
     endpoints,
     forwards,
@@ -31,5 +32,5 @@
     assert not forwards(receive_request(router, 2000, 6, ordering_key=5))
     router.handle(3000, ClientDisconnected(2))
     end_attempt(router, 4000, second, AttemptResult.CANCELLED)
-    assert not forwards(router.handle(200_000, TimerFired(0)))
-    assert [s.request for s in forwards(router.handle(310_000, TimerFired(0)))] == [6]
+    assert not forwards(router.handle(200_000, TimerFired(STEP_TIMER)))
+    assert [s.request for s in forwards(router.handle(310_000, TimerFired(STEP_TIMER)))] == [6]
--- a/tests/decisions/test_pooled_limit.py
+++ b/tests/decisions/test_pooled_limit.py
@@ -10,6 +10,7 @@
     LONG,
     SECOND_US,
     SHORT,
+    STEP_TIMER,
     end_attempt,
     endpoints,
     forwards,
@@ -83,7 +84,7 @@
     router.handle(started_us, EndpointList(ListScope.DELTA, endpoints(10, started_us=started_us)[5:]))
     assert abs(router.pooled_limit.concurrency.limit - 0.65 * warm_limit) < 1e-6  # 5 engines at 1, 5 at 0.3
     receive_request(router, started_us + SECOND_US, 1)
-    router.handle(started_us + 13 * SECOND_US, TimerFired(0))
+    router.handle(started_us + 13 * SECOND_US, TimerFired(STEP_TIMER))
     assert router.pooled_limit.concurrency.limit > 0.9 * warm_limit
 
 
--- a/tests/decisions/test_settings_file.py
+++ b/tests/decisions/test_settings_file.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 import pytest
+from helpers import STEP_TIMER
 
 from lilacfront.decisions.actions import Forward
 from lilacfront.decisions.events import (
@@ -118,7 +119,7 @@
                     router.may_begin(now, n)
                     router.handle(now + 1, AttemptEnded(n, 0, action.engine, AttemptResult.OK, 1, True))
                     served += 1
-            router.handle(now + 50_000, TimerFired(0))
+            router.handle(now + 50_000, TimerFired(STEP_TIMER))
         assert served
 
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -136,7 +136,7 @@
     started_us = 100 * SECOND_US
     window_us = COLD_RULES.overload_window_us + 500_000
     cold = (replace(endpoints(1)[0], started_us=started_us),)
-    held_count = sent_count = 0
+    withheld_count = sent_count = 0
     for gateway in range(200):
         router = make_router(
             policy_settings(SHORT, gateway_count=200, gateway_index=gateway, rules=COLD_RULES),
@@ -153,5 +153,5 @@
         )
         has_turn = bool(forwards(receive_request(new_router, started_us + window_us + 200_000, 2)))
         assert router.may_begin(started_us + window_us + 200_000, 1) is has_turn
-        held_count, sent_count = held_count + (not has_turn), sent_count + has_turn
-    assert held_count >= 3
+        withheld_count, sent_count = withheld_count + (not has_turn), sent_count + has_turn
+    assert withheld_count >= 3
--- a/tests/decisions/test_unexpected_events.py
+++ b/tests/decisions/test_unexpected_events.py
@@ -1,9 +1,10 @@
-"""Events with unknown requests, attempts, engines or classes."""
+"""Unexpected events: unknown or repeated numbers, malformed messages, and a clock that goes backwards."""
 
 from __future__ import annotations
 
 import pytest
 from helpers import (
+    DEADLINE_TIMER_1,
     SECOND_US,
     SHORT,
     end_attempt,
@@ -69,7 +70,7 @@
         forwards(end_attempt(router, 3 * SECOND_US, send, AttemptResult.ERROR))[0].deadline_us
         == 6 * SECOND_US
     )
-    assert final_answers(router.handle(6 * SECOND_US, TimerFired(3))) == [Fail(1)]
+    assert final_answers(router.handle(6 * SECOND_US, TimerFired(DEADLINE_TIMER_1))) == [Fail(1)]
 
 
 def test_malformed_gossip_and_unknown_health_checks_are_ignored() -> None:
--- a/tests/event_stream_model.py
+++ b/tests/event_stream_model.py
@@ -18,6 +18,7 @@
 from lilacfront.decisions.events import Endpoint
 from lilacfront.decisions.settings import PolicySettings
 
+# Codes of the actions that the router requests; the other actions of `Action` have none.
 ACTION_CODES: dict[type, str] = {
     Forward: "F",
     Reject: "R",
@@ -44,8 +45,8 @@
     relative_load: float = 1.0  # total demand as a fraction of the capacity of all engines
     table_group_count: int = 30
     fault_rate: float = 0.02  # fraction of attempts with a random result
-    faulty_engines: int = 1  # engines with a fault at any time
-    change_interval_s: float = 2.0  # mean time between changes of the endpoint list
+    faulty_engines: int = 1  # maximum number of engines with a fault at a time
+    change_interval_s: float = 2.0  # between changes of the endpoint list, times 0.3 to 2.0 at random
     has_load_reports: bool = True
     has_work_estimates: bool = True
     disconnect_rate: float = 0.03
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -39,6 +39,8 @@
 LIMITS = PolicyLimits(max_attempts=4, may_cancel=True)
 RULES = SafetyRules(answer_slack_us=20_000, drain_deadline_us=1_000_000)
 SECOND_US = 1_000_000
+STEP_TIMER = 0  # token of the router's step timer
+DEADLINE_TIMER_1 = 3  # token of the deadline timer of request 1
 COLD_RULES = replace(
     RULES,
     overload_factor=2.5,
@@ -51,7 +53,7 @@
 
 
 def policy_settings(*classes: RequestClass, **changes: Any) -> PolicySettings:
-    """Settings with plain limits and rules; the class is SHORT where none is given."""
+    """Return settings with plain limits and rules; without `classes` the only class is SHORT."""
     plain = PolicySettings(
         classes=classes or (SHORT,),
         machine_type_cores=(8.0, 8.0),
@@ -63,29 +65,29 @@
 
 
 def endpoints(count: int, **changes: Any) -> Endpoints:
-    """Ready endpoints, numbered from 1."""
+    """Return ready endpoints, numbered from 1."""
     return tuple(replace(Endpoint(n + 1, EndpointState.READY), **changes) for n in range(count))
 
 
 def make_router(config: PolicySettings, fleet: Endpoints, now: int = 0) -> RequestRouter:
-    """A router that has received the endpoint list."""
-    made = RequestRouter(config, 7)
-    made.handle(now, EndpointList(ListScope.SNAPSHOT, fleet))
-    return made
+    """Return a router that has received the endpoint list."""
+    router = RequestRouter(config, 7)
+    router.handle(now, EndpointList(ListScope.SNAPSHOT, fleet))
+    return router
 
 
 def forwards(actions: list[Action]) -> list[Forward]:
-    """The forwarded attempts among the actions."""
+    """Return the forwarded attempts among the actions."""
     return [a for a in actions if isinstance(a, Forward)]
 
 
 def final_answers(actions: list[Action]) -> list[Reject | Fail]:
-    """The final answers among the actions."""
+    """Return the final answers among the actions."""
     return [a for a in actions if isinstance(a, Reject | Fail)]
 
 
 def receive_request(router: RequestRouter, now: int, request: int, **changes: Any) -> list[Action]:
-    """Let the router receive a request of the first class."""
+    """Let the router receive a request, by default of the first class and with 5 s left."""
     plain = RequestReceived(request, 0, 5_000_000)
     return router.handle(now, replace(plain, **changes))
 
@@ -94,8 +96,8 @@
     router: RequestRouter, now: int, send: Forward, result: AttemptResult, attempt: int = 0, **more: Any
 ) -> list[Action]:
     """Let a forwarded attempt end."""
-    final = result is AttemptResult.OK
-    return router.handle(now, AttemptEnded(send.request, attempt, send.engine, result, 0, final, **more))
+    is_final = result is AttemptResult.OK
+    return router.handle(now, AttemptEnded(send.request, attempt, send.engine, result, 0, is_final, **more))
 
 
 def end_with_load(
@@ -110,7 +112,7 @@
 
 
 def make_routers(count: int, fleet: Endpoints, *classes: RequestClass, **changes: Any) -> list[RequestRouter]:
-    """The routers of all gateways of a deployment, each with its own index."""
+    """Return the routers of all gateways of a deployment, each with its own index."""
     return [
         make_router(
             policy_settings(*classes, gateway_count=count, gateway_index=index, **changes),
@@ -121,11 +123,13 @@
     ]
 
 
-def serve_in_sequence(router: RequestRouter, now: int, count: int, took: int, first: int = 1000) -> int:
-    """Serve `count` requests one after the other, each within `took`; return the time after them."""
+def serve_in_sequence(
+    router: RequestRouter, now: int, count: int, duration_us: int, first_number: int = 1000
+) -> int:
+    """Serve `count` requests one after the other, each in `duration_us`; return the time after them."""
     for number in range(count):
-        (send,) = forwards(receive_request(router, now, first + number, table_group=number))
-        now += took
+        (send,) = forwards(receive_request(router, now, first_number + number, table_group=number))
+        now += duration_us
         end_attempt(router, now, send, AttemptResult.OK)
     return now
 
@@ -133,4 +137,4 @@
 def fire_step_timer(router: RequestRouter, now: int) -> list[Action]:
     """Fire the step timer on time."""
     router.next_step_at_us = now
-    return router.handle(now, TimerFired(0))
+    return router.handle(now, TimerFired(STEP_TIMER))
