--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -39,6 +39,8 @@
 LIMITS = PolicyLimits(max_attempts=4, may_cancel=True)
 RULES = SafetyRules(answer_slack_us=20_000, drain_deadline_us=1_000_000)
 SECOND_US = 1_000_000
+STEP_TIMER = 0  # token of the router's step timer
+DEADLINE_TIMER_1 = 3  # token of the deadline timer of request 1
 SLOW_START_RULES = replace(
     RULES,
     overload_factor=2.5,
@@ -135,4 +137,4 @@
 def fire_step_timer(router: RequestRouter, now: int) -> list[Action]:
     """Fire the step timer at its due time."""
     router.next_step_at_us = now
-    return router.handle(now, TimerFired(0))
+    return router.handle(now, TimerFired(STEP_TIMER))
