--- a/lilacfront/discovery/__init__.py
+++ b/lilacfront/discovery/__init__.py
@@ -1,5 +1,5 @@
 """Receives the endpoint list from the platform's change log or from an etcd watch.
 
-`change_log` and `etcd_watch` are the two sources. `endpoint_list` decodes the entries that the sources write
-and assigns engine numbers and addresses to them.
+`change_log` and `etcd_watch` are the clients of the two sources. `endpoint_list` converts the sources'
+entries to events for the routing decisions, assigns engine numbers and keeps the addresses of the engines.
 """
--- a/lilacfront/discovery/change_log.py
+++ b/lilacfront/discovery/change_log.py
@@ -26,7 +26,7 @@
 CATCH_UP_TIMEOUT_S = 0.2  # missed events start to arrive within this time after the request
 UNREACHABLE_TIMEOUT_S = 1.0  # time after the start at which the cached endpoint list is used without the log
 MAX_LINE_BYTES = 4 << 20
-MAX_QUEUED_BYTES = 1 << 16
+MAX_QUEUED_BYTES = 1 << 16  # bytes queued for a log that does not read
 
 
 class ChangeEvent(msgspec.Struct):
@@ -68,8 +68,8 @@
         is_caught_up: Whether the events from before and during the start of this process have been
             received, or the wait for them has timed out. Until then a request could be sent to a draining
             engine.
-        has_answered: Whether the log itself has sent its sequence number, at least `sequence`, since the
-            start of this process.
+        has_answered: Whether the log has sent, since the start of this process, a sequence number of its own
+            that is not below `sequence`.
         renumbering_wait_s: Seconds that the log's own sequence number has to be below `sequence` before the
             log is considered renumbered from 1; 0 disables the detection.
         on_renumbered: Called when a renumbering is detected, before all events are requested again.
@@ -97,7 +97,7 @@
         loop.at(loop.now + UNREACHABLE_TIMEOUT_S, self._expire_catch_up)
 
     def set_address(self, address: tuple[str, int]) -> None:
-        """Switch to the log at this address, after the last event processed."""
+        """Follow the log at another address, starting after the last event that was processed."""
         if address == self.address:
             return
         self.address = address
--- a/lilacfront/discovery/endpoint_list.py
+++ b/lilacfront/discovery/endpoint_list.py
@@ -13,7 +13,7 @@
 from lilacfront.logs import Log
 
 log = Log(__name__)
-MAX_UNNAMED_ZONES = 1024  # zones missing from the settings with a number each; all others share one number
+MAX_UNNAMED_ZONES = 1024  # zones missing from the settings that get a number each; the rest share one
 MAX_PORT = 65535
 ENTRY_EXCERPT_BYTES = 120  # length of the excerpt that is logged of an undecodable entry
 STATE_BY_LIFECYCLE = {
@@ -151,6 +151,11 @@
             }
 
     def _endpoint(self, record: EndpointRecord) -> Endpoint:
+        """Convert an entry and store the engine's address.
+
+        Raises:
+            EndpointListError: The entry has no instance ID, an unknown lifecycle or an invalid address.
+        """
         if not record.instance_id:
             raise EndpointListError("entry without instanceId")
         state = STATE_BY_LIFECYCLE.get(record.lifecycle)
--- a/lilacfront/discovery/etcd_watch.py
+++ b/lilacfront/discovery/etcd_watch.py
@@ -20,13 +20,13 @@
 log = Log(__name__)
 CONNECT_TIMEOUT_S = 1.0
 RANGE_TIMEOUT_S = 5.0
-# etcd sends nothing while the list doesn't change, and so does a failed machine. After this time without a
-# line the whole list is read again.
+# etcd sends nothing while the list doesn't change, so an idle server can't be told from a failed one. After
+# this time without a line the whole list is read again.
 SILENCE_TIMEOUT_S = 10.0
 MIN_BACKOFF_S = 0.2
 MAX_BACKOFF_S = 5.0
 MAX_ANSWER_BYTES = 4 << 20
-MAX_QUEUED_BYTES = 1 << 16
+MAX_QUEUED_BYTES = 1 << 16  # bytes queued for a server that does not read
 STATUS_OK = 200
 
 
@@ -191,7 +191,7 @@
         self._on_update(EndpointUpdate(self.revision, True, list(self.records.values())))
 
     def _watch(self, task: Task, endpoint: tuple[str, int]) -> None:
-        """Process changes until the watch ends, is cancelled, its revision is compacted, or it times out."""
+        """Process changes until the watch ends, is cancelled or times out, or its revision is compacted."""
         request = {"create_request": {**self._key_range, "start_revision": str(self.revision + 1)}}
         stream = self._post(task, endpoint, b"/v3/watch", request)
         if stream is None:
--- a/lilacfront/frontends/clickhouse.py
+++ b/lilacfront/frontends/clickhouse.py
@@ -11,8 +11,8 @@
 from lilacfront.frontends.process_state import HealthSource
 from lilacfront.sched import Loop
 
-# Answers queued for a client, in addition to the maximum size of a request body. `StreamedResult` stops
-# reading a result long before this limit.
+# Limit for the answers queued for a client; the maximum size of a request body is added to it.
+# `StreamedResult` stops reading a result long before this limit.
 MAX_QUEUED_BYTES = 1 << 20
 
 
--- a/lilacfront/frontends/clickhouse_connection.py
+++ b/lilacfront/frontends/clickhouse_connection.py
@@ -23,7 +23,7 @@
 from lilacfront.sched import Task
 
 log = Log(__name__)
-MIN_BACKOFF_S = 0.1  # delay after the first invalid request; doubles with each further one
+MIN_BACKOFF_S = 0.1  # delay after the first invalid request; doubles with each one up to MAX_BACKOFF_S
 MAX_BACKOFF_S = 0.8
 CONNECTED_CHECK_INTERVAL_S = 0.05  # time between checks for a disconnect while nothing is read
 FINISH_TIMEOUT_S = 1.0  # time for the client to receive the last answer
--- a/lilacfront/frontends/clickhouse_reader.py
+++ b/lilacfront/frontends/clickhouse_reader.py
@@ -117,6 +117,11 @@
         self._account(len(self._body) + self._parser.buffered_bytes)
 
     def _account(self, size: int) -> None:
+        """Set the memory that the budget counts for this connection's request.
+
+        Raises:
+            http1.HttpError: The limit for one body or for all bodies is exceeded.
+        """
         self._bodies.available_bytes -= size - self._accounted_bytes
         self._accounted_bytes = size
         if size and (size > self._bodies.max_body_bytes or self._bodies.available_bytes < 0):
--- a/lilacfront/frontends/clickhouse_request_parser.py
+++ b/lilacfront/frontends/clickhouse_request_parser.py
@@ -16,7 +16,7 @@
 
 DEADLINE_MARGIN_S = 0.012  # time for sending the answer
 MAX_TABLE_SEARCH_BYTES = 64 << 10  # start of a statement that is searched for table names
-MAX_TIMEOUT_DIGITS = 9
+MAX_TIMEOUT_DIGITS = 9  # digits of `max_execution_time`; any further ones are ignored
 UNIQUE_PARAMETERS = (b"query", b"query_id", b"database", b"session_id")
 
 
@@ -152,7 +152,7 @@
 
 
 def _timeout_s(target: Target, class_deadline_s: float) -> float:
-    """Return the client's `max_execution_time` if it is shorter than the deadline of the class."""
+    """Return `max_execution_time` if it is shorter than the deadline of the class, else the deadline."""
     limit = target.first(b"max_execution_time")
     if limit.isdigit() and 0 < int(limit[:MAX_TIMEOUT_DIGITS]) < class_deadline_s:
         return float(limit[:MAX_TIMEOUT_DIGITS])
--- a/lilacfront/frontends/clickhouse_services.py
+++ b/lilacfront/frontends/clickhouse_services.py
@@ -19,7 +19,7 @@
 
     Attributes:
         max_body_bytes: Limit for one body.
-        available_bytes: What is left of the limit for all bodies; negative once the limit is exceeded.
+        available_bytes: Unused part of the limit for all bodies; negative once the limit is exceeded.
     """
 
     max_body_bytes: int
--- a/lilacfront/frontends/connection_handover.py
+++ b/lilacfront/frontends/connection_handover.py
@@ -1,8 +1,8 @@
-"""The connections' side of the transfer of client connections between the processes of one front end.
+"""Transfers client connections between the processes of one front end.
 
-A process that shuts down sends the descriptor of each connection to its successor. It still serves the
-requests in flight: it sends their answers over the transfer channel, and the successor sends it the client's
-cancellations.
+A process that shuts down sends the descriptor of each connection to its successor over a channel of
+`operations.connection_transfer`. It still serves the requests in flight: it sends their answers over the
+transfer channel, and the successor sends it the client's cancellations.
 """
 
 from __future__ import annotations
--- a/lilacfront/frontends/listener.py
+++ b/lilacfront/frontends/listener.py
@@ -20,7 +20,8 @@
 ACCEPT_RETRY_S = 0.1  # delay of the next accept after descriptors have run out
 # A connection that is being closed keeps its descriptor until its client has closed, too. Such connections do
 # not count towards the connection limit. Their number is limited to the connection limit divided by
-# `LINGERING_DIVISOR`, but at least `MIN_MAX_LINGERING`; a sixth of all descriptors is reserved for them.
+# `LINGERING_DIVISOR`, but at least `MIN_MAX_LINGERING`. They use the sixth of all descriptors that remains
+# after the half for clients and the third for engines (`server.builders`).
 LINGERING_DIVISOR = 16
 MIN_MAX_LINGERING = 4
 
@@ -45,7 +46,8 @@
         stream: The byte stream of the connection.
         owner: The protocol's connection; None until it registers itself.
         connected_at: Time at which the connection was accepted.
-        last_request_at: Time at which its last request was complete; negative if there was none.
+        last_request_at: Time at which its last request was complete, or for HTTP the head of the request;
+            negative if there was none.
         last_byte_at: Time at which its last byte was received.
         has_partial_message: Whether a message has been received in part.
     """
@@ -77,7 +79,7 @@
         """Record that nothing is in flight, so that the connection may be evicted.
 
         Args:
-            had_request: Whether the connection ever had a request. One that never had is evicted sooner.
+            had_request: Whether the connection ever had a request; the order of eviction depends on it.
         """
         self._clear_idle()
         if self.stream.closed:
@@ -91,7 +93,7 @@
             self.stream.loop.at(self.stream.loop.now, self.apply_drain)
 
     def mark_busy(self) -> None:
-        """Record that a complete request has been received."""
+        """Record that a complete request, or for HTTP the head of a request, has been received."""
         self.last_request_at = self.stream.loop.now
         self._clear_idle()
 
--- a/lilacfront/protocols/http1.py
+++ b/lilacfront/protocols/http1.py
@@ -32,7 +32,7 @@
         b"trailer",
         b"transfer-encoding",
         b"upgrade",
-        b"content-length",
+        b"content-length",  # not hop-by-hop, but set anew for each message that is forwarded
     )
 )
 
--- a/lilacfront/teams/cost_model.py
+++ b/lilacfront/teams/cost_model.py
@@ -21,7 +21,11 @@
 
 
 def statement_fingerprint(statement: bytes) -> bytes:
-    """Returns a digest of a statement that ignores literals, digits in names, case and white space."""
+    """Returns a digest of a statement, the same for all statements with the same structure.
+
+    Literals, the length of a list of literals, digits after an underscore, case and the amount of white
+    space are ignored, and so is everything after `MAX_FINGERPRINTED_BYTES`.
+    """
     text = b" ".join(_LITERAL.sub(b"?", statement[:MAX_FINGERPRINTED_BYTES]).split())
     return hashlib.blake2b(_LIST.sub(b"?", text).lower(), digest_size=8).digest()
 
@@ -54,7 +58,7 @@
         return self.threads[class_index] * self.expected_seconds(class_index, fingerprint)
 
     def fast_quantile_seconds(self, class_index: int) -> float:
-        """Returns the 10th percentile of the class's execution times in seconds.
+        """Returns the 10th percentile of the class's execution times in seconds; 0 if none was recorded.
 
         A request with less time left until its deadline is not worth starting.
         """
--- a/lilacfront/teams/dispatch_order.py
+++ b/lilacfront/teams/dispatch_order.py
@@ -10,7 +10,7 @@
 from lilacfront.teams.team_tree import TeamQueue, TeamTree
 
 REFILL_INTERVAL_S = 0.05  # time between two refills of the budgets
-MAX_BORROWERS_TRIED = 8  # queues checked per choice, in the order of service
+MAX_BORROWERS_TRIED = 8  # queues of borrowing teams checked per choice, in the order of service
 
 
 class DispatchChoice(NamedTuple):
@@ -94,6 +94,11 @@
         return None
 
     def _next_borrower(self, now: float) -> DispatchChoice | None:
+        """Returns the first request in the order of borrowing teams whose whole cost can be borrowed.
+
+        A queue that can't borrow now is deactivated during the search, so that `next_leaf` returns the next
+        one. The deactivated queues are updated at the end.
+        """
         skipped: list[TeamQueue] = []
         choice: DispatchChoice | None = None
         while len(skipped) < MAX_BORROWERS_TRIED:
--- a/lilacfront/teams/fair_queue.py
+++ b/lilacfront/teams/fair_queue.py
@@ -1,10 +1,11 @@
 """Start-time fair queueing over a tree, by cost and weight (Goyal, Vin and Cheng, 1996).
 
-Each node has a virtual time, and each of its children has a start tag. The active child with the smallest
-start tag is served, and its tag then advances by cost / weight. When an idle child becomes active, its start
-tag is raised to the node's virtual time if it is lower. So the child can't claim service for the time it was
-idle, and its siblings aren't penalised for the service that they received meanwhile. While two children are
-active, their service divided by weight differs by at most the sum of their largest cost / weight.
+Each child of a node has a start tag. The node has a virtual time, which is the largest start tag at which one
+of its children was served. The active child with the smallest start tag is served, and its tag then advances
+by cost / weight. When an idle child becomes active, its start tag is raised to the node's virtual time if it
+is lower. So the child can't claim service for the time it was idle, and its siblings aren't penalised for the
+service that they received meanwhile. While two children are active, their service divided by weight differs
+by at most the sum of their largest cost / weight.
 
 Start tags are kept in heaps with lazy deletion: a change pushes a new entry, and a stale entry is dropped
 when it reaches the top of the heap.
--- a/lilacfront/teams/quantile_sketch.py
+++ b/lilacfront/teams/quantile_sketch.py
@@ -50,7 +50,8 @@
     def quantiles(self, probabilities: tuple[float, ...]) -> list[float]:
         """Returns the quantile for each probability; 0 if no value was added.
 
-        Probabilities must be ascending. The result may not include the last `MAX_CACHE_AGE` values.
+        Probabilities must be ascending. The result can be a cached one, in which fewer than `MAX_CACHE_AGE`
+        of the latest values are missing.
         """
         if self._added_since_cached >= MAX_CACHE_AGE or len(self._buckets) < MAX_CACHE_AGE:
             self._cache.clear()
--- a/lilacfront/teams/queue_limits.py
+++ b/lilacfront/teams/queue_limits.py
@@ -32,7 +32,9 @@
     """Returns the next request to displace to make a new request fit; None if the new request fits.
 
     If the new request's queue is full, its least urgent request is displaced. If all queues together are
-    full, the least urgent request of the queue with the highest cost per weight is displaced.
+    full, the least urgent request of the queue with the highest cost per weight is displaced. A new request
+    displaces only a less urgent request of its own queue, and a request of another queue only if the cost
+    per weight of that queue is higher.
 
     Args:
         tree: The tree with all queues.
--- a/lilacfront/teams/scheduler.py
+++ b/lilacfront/teams/scheduler.py
@@ -4,8 +4,8 @@
 `AdmitRequest` and `RejectRequest`. Each enqueued request gets exactly one decision, unless it is removed
 first. The scheduler guarantees (`docs/design/teams.md`):
 
-- A request waits no longer than its team's `max_wait_s`. It also doesn't wait past the time from which fewer
-  than one in ten requests of its class could finish by the deadline.
+- A request waits no longer than its team's `max_wait_s`. It is also rejected as soon as fewer than one in ten
+  requests of its class would still finish by its deadline.
 - In any period of T seconds, a team with a budget starts work of at most rate * T + burst plus one request,
   not counting borrowed budget. A team can borrow the surplus of other teams and no more.
 - Within a team, a request is overtaken only by requests that arrive later by no more than the difference
@@ -98,6 +98,7 @@
             # the client know before the deadline.
             return [self._reject(now, request, RejectReason.DEADLINE_UNREACHABLE)]
         decisions: list[TeamDecision] = []
+        # The queue bounds don't apply to a request that is expected to start immediately.
         if request.computed_wait_s > 0 and not self._displace_until_fits(now, request, decisions):
             return [*decisions, self._reject(now, request, RejectReason.QUEUE_FULL)]
         self._requests[number] = request
--- a/lilacfront/teams/settings_file.py
+++ b/lilacfront/teams/settings_file.py
@@ -22,11 +22,11 @@
 MAX_TEAMS = 10_000
 MAX_RULES = 10_000
 DEFAULT_BURST_S = 5  # the default burst is the budget of this many seconds
-MAX_WAIT_LIMIT_S = 3600.0  # largest value of any setting in seconds
+MAX_DURATION_S = 3600.0  # largest value of any setting in seconds
 TEAM_PATH_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}(/[A-Za-z0-9][A-Za-z0-9._-]{0,63}){0,5}\Z")
 
-Seconds = Annotated[float, Meta(ge=0, le=MAX_WAIT_LIMIT_S)]
-PositiveSeconds = Annotated[float, Meta(gt=0, le=MAX_WAIT_LIMIT_S)]
+Seconds = Annotated[float, Meta(ge=0, le=MAX_DURATION_S)]
+PositiveSeconds = Annotated[float, Meta(gt=0, le=MAX_DURATION_S)]
 
 
 class TeamEntry(
@@ -65,7 +65,7 @@
     user: str = ""
     header: str = ""  # "Name: value"; never matches requests of a protocol without headers
     class_name: str = ""
-    pattern: str = ""  # regular expression that is searched for in the statement
+    pattern: str = ""  # regular expression, searched for in the statement regardless of case
 
 
 class TeamsFile(
@@ -213,7 +213,7 @@
         max_concurrency=None,
         max_queued_requests=0,
         max_queued_bytes=0,
-        max_wait_s=MAX_WAIT_LIMIT_S,
+        max_wait_s=MAX_DURATION_S,
         borrowing_classes=None,
         patience_s={},
     )
--- a/lilacfront/teams/start_deadlines.py
+++ b/lilacfront/teams/start_deadlines.py
@@ -15,7 +15,7 @@
     """Finds the queued requests whose latest start time has been reached."""
 
     def __init__(self, requests: Mapping[int, QueuedRequest]) -> None:
-        """Use `requests`, all requests that have not ended by number; the caller keeps it up to date."""
+        """Use `requests`, all requests that have not ended, by number; the caller keeps it up to date."""
         self._requests = requests
         self._heap: list[tuple[float, int]] = []
 
@@ -31,7 +31,7 @@
             heapq.heapify(self._heap)
 
     def earliest(self) -> float:
-        """Returns the first latest start time of all queued requests; infinity if none is queued."""
+        """Returns the earliest `latest_start` of all queued requests; infinity if none is queued."""
         while self._heap and not self._is_queued(self._heap[0][1]):
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else math.inf
--- a/lilacfront/teams/surplus_pool.py
+++ b/lilacfront/teams/surplus_pool.py
@@ -4,7 +4,7 @@
 
 from lilacfront.teams.token_bucket import ROUNDING_TOLERANCE, TokenBucket
 
-MAX_SURPLUS_S = 2.0  # most seconds of a contributor's rate that a pool keeps
+MAX_SURPLUS_S = 2.0  # a pool keeps at most the budget of this many seconds of each contributor
 MIN_SCALE = 1e-6  # below this, contributions are stored unscaled again to keep their precision
 
 
--- a/lilacfront/teams/team_tree.py
+++ b/lilacfront/teams/team_tree.py
@@ -63,7 +63,8 @@
         entries: The requests with their urgencies, the most urgent last.
         queued_bytes: Total size of the queued statements in bytes.
         queued_cost: Total expected cost of the queued requests in thread-seconds.
-        active_order_node: The leaf that is active, one of the two above; None if no request may start.
+        active_order_node: `budget_order_node` or `borrowing_order_node`, whichever is active; None if no
+            request may start.
         throttled_until: Time at which a throttled queue's budget is rechecked.
         recent_decisions: The latest decisions on the team's requests as text, for diagnosis.
     """
--- a/lilacfront/teams/wait_prediction.py
+++ b/lilacfront/teams/wait_prediction.py
@@ -28,7 +28,8 @@
         return 0.0
     if capacity.limit <= 0:
         return queue.settings.max_wait_s
-    # On average, a running request is half done when another one arrives.
+    # On average, half of a running request remains when another one arrives. Its cost is assumed to be the
+    # new request's.
     service_wait_s = (cost_ahead + cost / 2) / _service_rate(queue, capacity, max_threads)
     if queue.budget.max_loan() >= cost_ahead + cost:
         return service_wait_s
--- a/lilacfront/upstream/clickhouse.py
+++ b/lilacfront/upstream/clickhouse.py
@@ -23,7 +23,7 @@
 # moment when the engine closes the connection.
 IDLE_TIMEOUT_FRACTION = 0.8
 DEFAULT_KEEP_ALIVE_S = 3.0  # for engines that send no Keep-Alive timeout
-MAX_QUEUED_BYTES = 80 << 20
+MAX_QUEUED_BYTES = 80 << 20  # a request queued for an engine that does not read
 _TIMEOUT = re.compile(rb"timeout=(\d{1,5})")
 
 
--- a/lilacfront/upstream/clickhouse_attempt.py
+++ b/lilacfront/upstream/clickhouse_attempt.py
@@ -25,7 +25,7 @@
 # SYSTEM_ERROR, KEEPER_EXCEPTION.
 SERVER_FAULT_CODES = frozenset((159, 209, 210, 236, 241, 242, 279, 394, 425, 999))
 MAX_CODE_DIGITS = 5
-CODE_EXCERPT_BYTES = 200
+CODE_EXCERPT_BYTES = 200  # start of an error text that is searched for the code
 _CODE = re.compile(rb"Code: (\d{1,5})\b")
 
 
--- a/lilacfront/upstream/resp.py
+++ b/lilacfront/upstream/resp.py
@@ -135,7 +135,7 @@
         return self._open(engine)
 
     def _close_unusable(self, engine: EngineAddress) -> None:
-        """Close idle connections that the engine has closed or left with unread bytes.
+        """Close idle connections that the engine has closed or that have an unread or incomplete answer.
 
         A request written to a closed connection would have to be treated as one that may have run.
         """
--- a/lilacfront/upstream/resp_messages.py
+++ b/lilacfront/upstream/resp_messages.py
@@ -16,14 +16,17 @@
 MAX_PAGE_BYTES = 6_000
 MAX_RESULT_BYTES = 48_000
 MAX_PAGES = 64
-MAX_DIGITS = 9
-MAX_NUMBER = 1e12
-WAITING_FOR_LOAD_VALUE = 2
+MAX_DIGITS = 9  # digits of a page number or page count
+MAX_NUMBER = 1e12  # numbers of this size or larger in load reports and notifications are ignored
+WAITING_FOR_LOAD_VALUE = 2  # value of a `waiting` notification; any other means waiting for memory
+# Kinds of answers: the first page of a result, a further page, two kinds of rejection, an error, and a
+# notification.
 HIT, PART, SHED, LATE, FAULT, INFO = b"HIT", b"PART", b"SHED", b"LATE", b"FAULT", b"INFO"
 ANSWERS_WITHOUT_RESULT = (SHED, LATE, FAULT, INFO)
 # Complete rows of three columns of text.
 ROWS = re.compile(rb"(?:[^\x00-\x1f\x7f]*\t[^\x00-\x1f\x7f]*\t[^\x00-\x1f\x7f]*\n)*")
 NOTIFICATION_KINDS = {b"so_far": NotificationKind.PROGRESS, b"lacking": NotificationKind.SPILLING}
+# Alternative names of each value in a load report; the first one that is present counts.
 UTILIZATION_FIELDS = (b"util", b"cpu")
 IN_FLIGHT_FIELDS = (b"inflight", b"active")
 QUEUED_FIELDS = (b"queue", b"waiting")
--- a/tests/frontends/test_platform.py
+++ b/tests/frontends/test_platform.py
@@ -4,7 +4,7 @@
 
 from play import Stage, ThriftResp
 
-LARGE_FRAME_HEAD = b"\0\1\xff\xff"
+LARGE_FRAME_HEAD = b"\0\1\xff\xff"  # length prefix of a frame of 131,071 bytes
 
 
 def test_incomplete_messages_beyond_the_memory_limit_close_the_largest_connection() -> None:
--- a/tests/protocols/test_parsers.py
+++ b/tests/protocols/test_parsers.py
@@ -139,6 +139,7 @@
         resp.Parser().feed(text)
 
 
+# The head of a call of `invoke` with sequence number 5.
 CALL_HEAD = b"\x80\x01\x00\x01\x00\x00\x00\x06invoke\x00\x00\x00\x05"
 
 
@@ -146,13 +147,13 @@
     "frame",
     [
         b"\x00\x00\x00\x06invoke\x01\x00\x00\x00\x05\x00",  # not the strict protocol
-        CALL_HEAD[:12],
+        CALL_HEAD[:12],  # ends within the name of the method
         CALL_HEAD + b"\x0b\x00\x02\x7f\xff\xff\xff",  # a string length beyond the frame
-        CALL_HEAD + b"\x0b\x00\x02\xff\xff\xff\xff",
+        CALL_HEAD + b"\x0b\x00\x02\xff\xff\xff\xff",  # a negative string length
         CALL_HEAD + b"\x0d\x00\x01\x0b\x0b\x7f\xff\xff\xff",  # more map entries than the frame has bytes
-        CALL_HEAD + b"\x0f\x00\x09\x02\x7f\xff\xff\xff",
+        CALL_HEAD + b"\x0f\x00\x09\x02\x7f\xff\xff\xff",  # more list elements than the frame has bytes
         CALL_HEAD + b"\x0c\x00\x09" * 40,  # nested too deeply
-        CALL_HEAD + b"\x00tail",
+        CALL_HEAD + b"\x00tail",  # bytes after the arguments
     ],
 )
 def test_truncated_thrift_or_wrong_length_is_rejected(frame: bytes) -> None:
--- a/tests/teams/test_scheduler.py
+++ b/tests/teams/test_scheduler.py
@@ -63,7 +63,7 @@
                 start_admitted(scheduler.request_ended(now, running_number, EXECUTION_S))
         start_admitted(scheduler.tick(now))
     # The three children of the root have weight 1 each. A third of the 8 threads is below the budget of
-    # `support`, 4 thread-seconds per second.
+    # `support/trends`, 4 thread-seconds per second.
     total = served.total()
     assert served["customers/acme"] / total == pytest.approx(1 / 3, abs=0.08)
     assert served["support/trends"] / total == pytest.approx(1 / 3, abs=0.08)
@@ -187,7 +187,7 @@
     assert 9 not in rejected(decisions)
 
 
-def test_unknown_client_names_create_no_teams_and_bounded_state() -> None:
+def test_unknown_client_names_create_no_teams_and_state_stays_bounded() -> None:
     scheduler = team_scheduler()
     for number in range(100_000):
         headers = [(b"X-Customer", b"c%d" % number)]
--- a/tests/upstream/test_connection_limit.py
+++ b/tests/upstream/test_connection_limit.py
@@ -10,7 +10,7 @@
 from lilacfront.sched import Loop
 from lilacfront.upstream.resp import RespUpstream
 
-FLEET_SIZE = 1024
+GATEWAY_COUNT = 1024
 WAREHOUSE_COUNT = 9
 MAX_CONNECTIONS = 3
 TURNS_TO_CONNECT = 20
@@ -20,7 +20,7 @@
     """At the limit an idle connection is closed for a new one; if all are busy, there is no new one."""
     loop = Loop(Clock())
     listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(WAREHOUSE_COUNT)]
-    upstream = RespUpstream(loop, (b"lookup",), 32, 1, 30, MAX_CONNECTIONS, FLEET_SIZE)
+    upstream = RespUpstream(loop, (b"lookup",), 32, 1, 30, MAX_CONNECTIONS, GATEWAY_COUNT)
     for cycle in range(3):
         for number, listener in enumerate(listeners):
             connection = upstream._acquire(EngineAddress(number, listener.getsockname()), b"%d" % cycle)
