--- a/lilacfront/membership/codec.py
+++ b/lilacfront/membership/codec.py
@@ -118,7 +118,7 @@
 
 
 def _encode_outlier_report(item: OutlierReport) -> bytes:
-    return b"".join(OUTLIER_ENTRY.pack(*entry) for entry in item.engines)
+    return b"".join(OUTLIER_ENTRY.pack(*entry) for entry in item.entries)
 
 
 def _decode_outlier_report(body: bytes) -> list[Item]:
@@ -203,6 +203,9 @@
         return repeated_length >= 0 and repeated_length % self.repeated_bytes == 0
 
 
+# The recorded datagrams in tests/fixtures/membership pin the length errors. Their names for items are: news
+# (updates), doubts (outlier report), marks (compact updates), blocks (bitmap), count (fleet size report),
+# fetch (chunk request) and part (chunk).
 _PROBE_LENGTH_ERROR = "a probe of another length"
 _CODECS = (
     ItemCodec(1, Ping, _encode_probe, _decode_ping, _PROBE_LENGTH_ERROR, PROBE.size),
--- a/lilacfront/membership/fleet_size.py
+++ b/lilacfront/membership/fleet_size.py
@@ -117,8 +117,9 @@
         return max(self.own_estimate, estimates[len(estimates) - ignored - 1])
 
     def turn_of_gateway(self, start: int) -> int:
-        """Position of this front end, from 0, in the order of turns that starts at front end -`start`.
+        """Position of this front end, from 0, in the order of turns.
 
+        The first in the order is front end (-`start` mod `gateway_count`); ascending numbers follow.
         Failed front ends before this one are skipped, at most as many as the count in use leaves out. The
         position is at least MIN_COUNTED_FRACTION of the unadjusted one, so at most 2 * n front ends have one
         of the first n positions, whatever their views are.
--- a/lilacfront/membership/local_node.py
+++ b/lilacfront/membership/local_node.py
@@ -33,7 +33,7 @@
         last_received_at: Time of the last message from any member.
         last_ack_at: Time at which a probe of this front end was last acknowledged.
         was_paused: Whether this front end was paused and has received no message since.
-        has_left: Whether this front end has left the tier.
+        has_left: Whether this front end has left the tier, or another process has taken over as this member.
         clock: The latest observed time in seconds.
     """
 
--- a/lilacfront/membership/messages.py
+++ b/lilacfront/membership/messages.py
@@ -13,7 +13,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a member, in the order in which one supersedes another within an incarnation."""
+    """State of a member. Within an incarnation, a state with a higher number supersedes a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -106,7 +106,12 @@
 
 @dataclass(slots=True, frozen=True)
 class PingRequest:
-    """SWIM's ping-req: asks the receiver to ping `target`, which did not acknowledge the sender's ping."""
+    """SWIM's ping-req: asks the receiver to ping `target`, which did not acknowledge the sender's ping.
+
+    Attributes:
+        sequence: Sequence number of the sender's ping, which the forwarded ack repeats.
+        target: The member to ping.
+    """
 
     sequence: int
     target: int
@@ -121,13 +126,14 @@
 
 @dataclass(slots=True, frozen=True)
 class OutlierReport:
-    """Engines that the sender can't use.
+    """Engines and zones that the sender can't use.
 
     Attributes:
-        engines: For each engine the last 32 bits of its number, the reason and the age in units of 0.1 s.
+        entries: For each engine or zone the last 32 bits of its number, the reason, and the age of the
+            failure in units of 0.1 s.
     """
 
-    engines: tuple[tuple[int, int, int], ...]
+    entries: tuple[tuple[int, int, int], ...]
 
 
 @dataclass(slots=True, frozen=True)
--- a/lilacfront/membership/probing.py
+++ b/lilacfront/membership/probing.py
@@ -177,7 +177,8 @@
         """Send a final ping to a suspect before the suspicion expires, as its refutation may have been lost.
 
         Only about MEAN_FINAL_PINGERS members do so, chosen at random: the acks of a thousand pings would use
-        up the rate limit of the suspect, and it could neither refute nor probe.
+        up the rate limit of the suspect, and it could neither refute nor probe. If MASS_FAILURE_MIN members
+        or more are suspect, none is sent.
         """
         suspicion.final_ping_decided = True
         is_drawn = self._node.random.random() * self._node.member_count < MEAN_FINAL_PINGERS
--- a/lilacfront/membership/reception.py
+++ b/lilacfront/membership/reception.py
@@ -105,7 +105,7 @@
         }
 
     def record_sender(self, now: float, message: Message) -> None:
-        """Apply that the sender of a message is alive in the incarnation of the header."""
+        """Mark the sender of a message as alive in the incarnation of the message's header."""
         member = message.sender
         previous_state = self._node.view.states[member]
         self._rules.accept(MemberUpdate(member, message.incarnation, MemberState.ALIVE), member, now)
--- a/lilacfront/membership/refutation.py
+++ b/lilacfront/membership/refutation.py
@@ -43,7 +43,7 @@
     def refute(
         self, now: float, incarnation: int, reason: str, accuser: int = NO_MEMBER
     ) -> list[OutgoingDatagram]:
-        """Start the incarnation after this one, and send it to the accuser and to REFUTE_FANOUT members.
+        """Start incarnation `incarnation` + 1, and send it to the accuser and to REFUTE_FANOUT members.
 
         The header of a message carries the incarnation, so these messages are short and fit when the rate
         limit is nearly reached. False accusations by a faulty member could still use up the rate limit, so
--- a/lilacfront/membership/rejections.py
+++ b/lilacfront/membership/rejections.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 MAX_REASONS = 32
-NUMBERED_REASONS = ("version", "no key")  # these reasons are counted under their number only
+NUMBERED_REASONS = ("version", "no key")  # counted by the number at their end: "version 1" as "1"
 
 
 class RejectionCounter:
--- a/lilacfront/membership/sender.py
+++ b/lilacfront/membership/sender.py
@@ -104,9 +104,10 @@
         gossip: Gossip = Gossip.QUEUED,
         low_priority: bool = False,
     ) -> list[OutgoingDatagram]:
-        """A message with these items and as much gossip as fits; empty if the rate limit is reached.
+        """Encode a message with these items and as much gossip as fits.
 
-        Messages with `low_priority` don't use the reserved tokens. Probes and acks have priority over gossip,
+        Returns no datagram if the rate limit is reached. Messages with `low_priority` don't use the reserved
+        tokens, and are not sent if they would be empty. Probes and acks have priority over gossip,
         because without them live members would be suspected, and refutations would cause even more gossip.
         """
         self.bucket.refill(now)
--- a/lilacfront/membership/settings.py
+++ b/lilacfront/membership/settings.py
@@ -45,7 +45,7 @@
         probe_interval_s: Time between two probes.
         ack_timeout_s: Timeout of a direct ping, after which other members are asked to ping the target.
         indirect_probes: Number of other members that are asked.
-        min_suspicion_s: Time a suspect has to refute if it has many accusers.
+        min_suspicion_s: Time a suspect has to refute if it has four accusers or more.
         max_suspicion_s: Time a suspect has to refute if it has one accuser.
         max_bytes_per_s: Rate limit of sent datagrams, including IP and UDP headers.
         keys_path: File with lines `NUMBER HEX`. Messages are tagged with the first key, and accepted with a
--- a/lilacfront/membership/update_packing.py
+++ b/lilacfront/membership/update_packing.py
@@ -33,7 +33,7 @@
 MAX_BITMAP_BLOCKS = 256
 MAX_BITMAP_MEMBERS = MAX_BITMAP_BLOCKS * BITMAP_BLOCK_MEMBERS  # higher members are sent as compact updates
 BLOCK_MASK = (1 << BITMAP_BLOCK_MEMBERS) - 1
-PIGGYBACK_DIVISOR = 3  # piggybacks of other components get at most this part of the free bytes: one third
+PIGGYBACK_DIVISOR = 3  # piggybacked items get at most one third of the free bytes
 BITMAP_STATES = (MemberState.SUSPECT, MemberState.DEAD)
 FULL_SYNC_STATES = (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT)
 
--- a/lilacfront/membership/update_rules.py
+++ b/lilacfront/membership/update_rules.py
@@ -1,8 +1,8 @@
 """Rules for accepting the membership updates of other members. No I/O.
 
 Plain SWIM accepts every update. Here a single faulty member can neither get a live member declared dead nor
-raise its incarnation so far that it couldn't refute: such updates have to come from the member itself or from
-a quorum of other members.
+raise the live member's incarnation so far that it couldn't refute: such updates have to come from the member
+that they are about, or from a quorum of other members.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from lilacfront.membership.suspicion import SuspicionTable
 from lilacfront.membership.update_packing import UpdatePacker
 
-MAX_INCARNATION_JUMP = 64  # maximum raise of an incarnation by a suspect update without a quorum
+MAX_INCARNATION_JUMP = 64  # maximum raise of an incarnation by a suspect or dead update without a quorum
 DIRECT_CONTACT_S = 2.0  # time after a member's last message in which suspecting it needs a quorum
 MAX_FIRST_LEAD_S = 1 << 20  # maximum lead of a first incarnation over this front end's: 2^20 s are 12 days
 CLAIMS_PER_MEMBER = 4  # maximum number of stored claims, per member of the tier
@@ -42,7 +42,10 @@
         self._quorum = node.quorum
 
     def has_quorum(self, update: MemberUpdate, claimant: int) -> bool:
-        """Record that a member sent this update; returns whether a quorum of members has."""
+        """Record that a member sent this update; returns whether a quorum of members sent it.
+
+        Suspect and dead updates count as the same claim.
+        """
         state = MemberState.SUSPECT if update.state is MemberState.DEAD else update.state
         claim = (update.member, update.incarnation, state)
         if len(self._claimants) > self._max_claims and claim not in self._claimants:
@@ -118,7 +121,8 @@
         """Apply a bitmap as one update per member.
 
         Returns:
-            The members that are alive here, of blocks whose sender knows other incarnations.
+            Members about which the sender is outdated: those of blocks with a wrong checksum that are alive
+            in this view.
         """
         known = self._view.bitmaps[MemberState.LEFT]
         if bitmap.state is not MemberState.LEFT:
--- a/lilacfront/recovery/admission.py
+++ b/lilacfront/recovery/admission.py
@@ -26,7 +26,11 @@
 
 
 class RecoveryAdmission(AdmissionPolicy):
-    """Rejects requests whose stage has not begun, and loads that may have run before a power loss."""
+    """Admits requests during a recovery.
+
+    Requests whose stage has not begun or that exceed the capacity are rejected with a Retry-After time. Loads
+    that may have run before a power loss fail, also after the recovery.
+    """
 
     def __init__(
         self,
@@ -77,7 +81,10 @@
         return Rejected(self._schedule_ms(request, cost))
 
     def retry_after_ms(self, request: Request, proposed_ms: int) -> int:
-        """Retry-After of a rejection by the request router; `proposed_ms` once recovery has ended."""
+        """Retry-After of a rejection by the request router.
+
+        Returns `proposed_ms` after the recovery, or if Retry-After is disabled.
+        """
         if self._stages.stage is RecoveryStage.OPEN or self._retry_after.max_retry_after_s <= 0:
             return proposed_ms
         return self._schedule_ms(request, self._thread_time_s(request.class_index))
--- a/lilacfront/recovery/coordinator.py
+++ b/lilacfront/recovery/coordinator.py
@@ -95,7 +95,7 @@
         self._journal.record(EndpointListRecord(seq, update.is_snapshot, entries))
         self._exchange.invalidate()
 
-    def reset_change_log(self) -> None:
+    def record_change_log_reset(self) -> None:
         """Record that the change log has restarted its event numbers at 1."""
         self._journal.record(ChangeLogResetRecord())
 
@@ -185,8 +185,8 @@
             endpoints_stale=stages.endpoints_stale,
             fleet_outage=stages.fleet_outage,
         )
-        first_served = previous < RecoveryStage.SHORT_READS <= stages.stage
-        if first_served and stages.fleet_outage and self._journal.state.endpoints:
+        service_begins = previous < RecoveryStage.SHORT_READS <= stages.stage
+        if service_begins and stages.fleet_outage and self._journal.state.endpoints:
             # Engines that also lost power are cold, but the restored list still has their old start times.
             self._endpoints.mark_restarted(stages.started_at)
             self._apply_endpoints()
--- a/lilacfront/recovery/durable_state.py
+++ b/lilacfront/recovery/durable_state.py
@@ -1,8 +1,9 @@
 """State that survives a power loss, built by applying the records of the journal. No I/O.
 
 Applying a record twice, or an older record after a newer one, changes nothing: directives are ordered by
-revision, endpoint lists by event number, and incarnations only rise. A journal may therefore be replayed
-again from any earlier point.
+revision, endpoint lists by event number, and incarnations only rise. Load and estimate records have no such
+order, but a replay ends with the same record of each. A journal may therefore be replayed again from any
+earlier point.
 """
 
 from __future__ import annotations
@@ -55,7 +56,7 @@
         started_loads: Loads that may have run: the time of sending in Unix seconds, by call id.
         incarnation: Highest recorded incarnation of this front end.
         class_estimates: The last record of the request classes' execution times.
-        shut_down_cleanly: The process that wrote the last record ended with a graceful shutdown.
+        shut_down_cleanly: Whether the process that wrote the last record ended with a graceful shutdown.
     """
 
     def __init__(self) -> None:
--- a/lilacfront/recovery/journal.py
+++ b/lilacfront/recovery/journal.py
@@ -20,8 +20,8 @@
 
     Attributes:
         state: The state after the last record.
-        restored: The restore has ended or timed out, successfully or not.
-        planned_restart: The last process shut down gracefully or is still running.
+        restored: Whether the restore has ended or timed out, successfully or not.
+        planned_restart: Whether the last process shut down gracefully or is still running.
     """
 
     def __init__(self, settings: RecoverySettings, name: str) -> None:
--- a/lilacfront/recovery/journal_writer.py
+++ b/lilacfront/recovery/journal_writer.py
@@ -31,7 +31,7 @@
 
     Attributes:
         state: The restored state, or None if the store can't be used.
-        locked_by_other_process: Another running process of this front end has the store locked.
+        locked_by_other_process: Whether another running process of this front end has the store locked.
     """
 
     state: DurableState | None
@@ -54,7 +54,7 @@
     Attributes:
         restored: Receives a `RestoreResult` at the end of the restore. If another process has the store
             locked, it receives one at once and a second one after the lock is acquired.
-        needs_checkpoint: The loop must call `write_checkpoint`.
+        needs_checkpoint: Whether the event loop must call `write_checkpoint`.
         failure: Why the store can't be used at present; empty while it works.
     """
 
--- a/lilacfront/recovery/restored_endpoints.py
+++ b/lilacfront/recovery/restored_endpoints.py
@@ -25,7 +25,10 @@
         return self._peer_ready_ids is not None
 
     def restrict(self, state: DurableState, seq: int, short_ids: set[int]) -> bool:
-        """Restrict the engines to those that a peer's list shows as ready; returns False for an old list."""
+        """Restrict the engines to those that a peer's list shows as ready.
+
+        Returns False if the list is not newer than the restored one and the lists of other peers.
+        """
         if seq <= max(state.list_seq, self._peer_list_seq):
             return False
         self._peer_list_seq = seq
--- a/lilacfront/recovery/retry_after.py
+++ b/lilacfront/recovery/retry_after.py
@@ -59,7 +59,7 @@
         retry_at = self._retry_at.get(call_id)
         if retry_at is not None:
             if retry_at - EARLY_TOLERANCE_S > now:
-                return False  # too early; `schedule` returns its earlier retry time again
+                return False  # too early; `schedule` returns the same retry time again
             del self._retry_at[call_id]
             if now <= retry_at + LATE_TOLERANCE_S:
                 self._slots.claim_reservation(slot_number(retry_at), cost)
--- a/lilacfront/recovery/settings.py
+++ b/lilacfront/recovery/settings.py
@@ -26,7 +26,8 @@
         restore_timeout_s: How long the start waits for the restore from the disk.
         confirm_timeout_s: How long the start waits for the change log to confirm the endpoint list.
         short_reads_stage_s: How long only short idempotent requests are served.
-        idempotent_stage_s: How long after that all requests but loads are served.
+        idempotent_stage_s: How long after that all requests but loads are served; up to twice as long
+            while a peer has a differing replica of this front end's directives.
         renumbering_wait_s: How long a change log must stay behind the restored list before it counts as
             renumbered.
     """
--- a/lilacfront/recovery/startup_stages.py
+++ b/lilacfront/recovery/startup_stages.py
@@ -1,7 +1,8 @@
 """State machine of the stages in which service returns after a power loss. No I/O; times are in seconds.
 
 Every stage has a timeout, so that no front end waits forever for another. If the restart was planned (the
-store was closed cleanly) or a peer is serving, the engines are warm, and the stage OPEN follows CONFIRMING.
+store was closed cleanly, or another process still has it locked) or a peer is serving, the engines are warm,
+and the stage OPEN follows CONFIRMING.
 """
 
 from __future__ import annotations
@@ -45,13 +46,13 @@
     """Inputs of the state machine at one moment.
 
     Attributes:
-        restored: The store has been read or can't be read.
-        planned_restart: The journal was closed cleanly, or another process of this front end has the store
-            locked.
-        endpoints_confirmed: The change log has delivered all its events.
-        peer_serving: At least one peer is in the stage `OPEN`.
-        has_peers: The membership protocol runs, so there may be peers.
-        directives_agree: No peer has a replica of this front end's directives that differs from its own.
+        restored: Whether the restore has ended or timed out, successfully or not.
+        planned_restart: Whether the journal was closed cleanly, or another process of this front end has the
+            store locked.
+        endpoints_confirmed: Whether the change log has delivered all its events, or none is used.
+        peer_serving: Whether at least one peer is in the stage `OPEN`.
+        has_peers: Whether the membership protocol runs, so that there may be peers.
+        directives_agree: Whether no peer has a differing replica of this front end's directives.
     """
 
     restored: bool = False
@@ -68,9 +69,10 @@
     Attributes:
         stage: The current stage.
         stage_since: When the current stage began.
-        endpoints_stale: Service began before the change log confirmed the endpoint list, and the list is
-            still unconfirmed.
-        fleet_outage: The engines are assumed to have restarted together with this front end and to be cold.
+        endpoints_stale: Whether service began before the change log confirmed the endpoint list, and the
+            list is still unconfirmed.
+        fleet_outage: Whether the engines are assumed to have restarted together with this front end and to
+            be cold.
     """
 
     def __init__(self, settings: RecoverySettings, now: float) -> None:
@@ -135,8 +137,8 @@
 
     def _advance_from_idempotent(self, now: float, conditions: StartupConditions) -> None:
         # Missing directives may never arrive, so they delay loads only by the length of one more stage.
-        extension = 1 if conditions.directives_agree else 2
-        if now - self.stage_since >= self.settings.idempotent_stage_s * extension:
+        stage_count = 1 if conditions.directives_agree else 2
+        if now - self.stage_since >= self.settings.idempotent_stage_s * stage_count:
             self._enter(RecoveryStage.OPEN, now)
 
 
--- a/lilacfront/recovery/state_encoding.py
+++ b/lilacfront/recovery/state_encoding.py
@@ -14,7 +14,7 @@
 from lilacfront.discovery.endpoint_list import engine_number
 from lilacfront.operations.state_record import OperatorDirective
 
-SHORT_ID_MASK: Final = 0xFFFFFFFF  # engine numbers and list numbers are sent with 32 bits
+SHORT_ID_MASK: Final = 0xFFFFFFFF  # engine numbers and event numbers are sent with 32 bits
 
 _DIRECTIVES = msgspec.msgpack.Decoder(list[OperatorDirective])
 _READY_LIST = msgspec.msgpack.Decoder(tuple[int, list[int]])
@@ -22,7 +22,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadyList:
-    """Engines that one front end's endpoint list shows as ready, and the number of that list."""
+    """Engines that one front end's endpoint list shows as ready.
+
+    Attributes:
+        seq: Number of the last change log event that the endpoint list includes.
+        instance_ids: Instance ids of the engines.
+    """
 
     seq: int
     instance_ids: Iterable[str]
@@ -48,12 +53,12 @@
 
 
 def encode_ready_list(ready: ReadyList) -> bytes:
-    """Encode the number of a ready list and the short ids of its engines."""
+    """Encode the event number of a ready list and the short ids of its engines."""
     return msgspec.msgpack.encode((ready.seq, sorted(map(short_id, ready.instance_ids))))
 
 
 def decode_ready_list(data: bytes) -> tuple[int, set[int]]:
-    """Decode the number of a ready list and the short ids of its engines.
+    """Decode the event number of a ready list and the short ids of its engines.
 
     Raises:
         msgspec.MsgspecError: The bytes are not a valid encoding.
--- a/lilacfront/recovery/state_exchange.py
+++ b/lilacfront/recovery/state_exchange.py
@@ -5,7 +5,7 @@
    revision. If its replica still differs afterwards, it offers the replica to the front end.
 3. A front end applies an offered replica only while it recovers; after that its own directives are
    authoritative.
-4. A recovering front end fetches a ready list that has a higher number than its own.
+4. A recovering front end fetches a ready list with a higher event number than its own list has.
 
 All messages are idempotent. Lost chunks are requested again, and no call blocks.
 """
@@ -41,7 +41,7 @@
 
 MAX_STATE_BYTES: Final = 0xFFFF  # longer encodings of one kind of state are not offered
 MAX_CHUNK_BYTES: Final = 180  # bytes of state in one chunk
-UNCHANGED_FETCH_PAUSE_S: Final = 2.0  # seconds before directives that left a replica different are refetched
+REFETCH_PAUSE_S: Final = 2.0  # seconds until a peer's directives are refetched if the replica still differs
 PEER_STAGE_TTL_S: Final = 2.0  # seconds for which a received stage of a peer is valid
 OFFERS_PER_DIGEST: Final = 2
 _ANY_PEER: Final = -1  # stands for the peer where the state is the same for all peers
@@ -97,8 +97,8 @@
         self.disagreeing_peers: set[int] = set()
         self._state = state
         self._transfers = InboundTransfers()
-        # By peer: checksum of fetched directives that left the replica different, and the end of the pause.
-        self._unchanged_fetches: dict[int, tuple[int, float]] = {}
+        # By peer: checksum of directives that were merged but left the replica different; end of the pause.
+        self._unresolved_fetches: dict[int, tuple[int, float]] = {}
         self._encoded: dict[tuple[StateKind, int], bytes] = {}
 
     @property
@@ -123,10 +123,10 @@
         return self._transfers.collect_retries(now)
 
     # ---- messages -------------------------------------------------------------------------------------
-    def collect(self, now: float, room: int) -> Iterator[Item]:
-        """Yield a digest of the state if it fits into `room` bytes."""
+    def collect(self, now: float, max_bytes: int) -> Iterator[Item]:
+        """Yield a digest of the state if it fits into `max_bytes`."""
         del now  # digests are not limited in rate
-        if room >= ITEM_HEADER_BYTES + DIGEST.size + OFFERS_PER_DIGEST * OFFER.size:
+        if max_bytes >= ITEM_HEADER_BYTES + DIGEST.size + OFFERS_PER_DIGEST * OFFER.size:
             seq = self._state.ready_list().seq
             offers = (
                 self._offer(StateKind.OPERATOR_DIRECTIVES, _ANY_PEER),
@@ -175,10 +175,10 @@
         """Whether to fetch a state that a peer offers."""
         match kind:
             case StateKind.OPERATOR_DIRECTIVES:
-                unchanged_checksum, until = self._unchanged_fetches.get(peer, (_NO_CHECKSUM, 0.0))
+                unresolved_checksum, until = self._unresolved_fetches.get(peer, (_NO_CHECKSUM, 0.0))
                 # The checksum doesn't show which side is newer; merging by revision does.
                 differ = self._checksum(StateKind.REPLICA, peer) != checksum
-                return differ and not (unchanged_checksum == checksum and now < until)
+                return differ and not (unresolved_checksum == checksum and now < until)
             case StateKind.REPLICA:
                 return self._should_fetch_replica(peer, checksum)
             case StateKind.ENDPOINT_LIST:
@@ -220,7 +220,7 @@
                 self._state.merge_peer_directives(peer, decode_directives(data))
                 self.invalidate()
                 if self._checksum(StateKind.REPLICA, peer) != checksum:
-                    self._unchanged_fetches[peer] = (checksum, now + UNCHANGED_FETCH_PAUSE_S)
+                    self._unresolved_fetches[peer] = (checksum, now + REFETCH_PAUSE_S)
                     yield StateDigest(self._state.stage_number(), 0, (self._offer(StateKind.REPLICA, peer),))
             case StateKind.REPLICA:
                 if self._state.recovering():
--- a/lilacfront/recovery/store.py
+++ b/lilacfront/recovery/store.py
@@ -35,6 +35,7 @@
     """The journal files of one front end. Methods raise OSError if the disk fails.
 
     Attributes:
+        stem: First part of the names of all files in the store.
         generation: Number of the newest generation.
         size_bytes: Size of the open journal file.
     """
--- a/lilacfront/recovery/transfers.py
+++ b/lilacfront/recovery/transfers.py
@@ -11,7 +11,7 @@
 
 MAX_TRANSFERS: Final = 16  # concurrent transfers; together at most 1 MiB
 CHUNK_RETRY_S: Final = 0.4  # seconds until a missing chunk is requested again
-STALL_TIMEOUT_S: Final = 10.0  # seconds without a chunk; the peer no longer has the offered state
+STALL_TIMEOUT_S: Final = 10.0  # seconds without a chunk until a transfer ends; the peer's state has changed
 
 
 @dataclass(slots=True)
--- a/lilacfront/server/endpoint_feed.py
+++ b/lilacfront/server/endpoint_feed.py
@@ -57,7 +57,7 @@
                 loop.spawn(self.change_log.run)
             else:
                 self.change_log.renumbering_wait_s = config.recovery.renumbering_wait_s
-                self.change_log.on_renumbered = self.recovery.reset_change_log
+                self.change_log.on_renumbered = self.recovery.record_change_log_reset
 
     @property
     def sequence(self) -> int:
--- a/tests/membership/test_outlier_gossip.py
+++ b/tests/membership/test_outlier_gossip.py
@@ -86,7 +86,8 @@
 
 
 def test_unknown_and_expired_entries_are_skipped(gossip: OutlierGossip) -> None:
-    gossip.receive(3, ((99, 1, 0), (5, 77, 0), (5, 1, 255), (9, 4, 0)), 20 * US_PER_S)
+    unknown_engine, unknown_reason, expired, unknown_zone = (99, 1, 0), (5, 77, 0), (5, 1, 255), (9, 4, 0)
+    gossip.receive(3, (unknown_engine, unknown_reason, expired, unknown_zone), 20 * US_PER_S)
     assert not gossip._reports
 
 
--- a/tests/membership/test_pinned_datagrams.py
+++ b/tests/membership/test_pinned_datagrams.py
@@ -1,4 +1,4 @@
-"""Compatibility of datagrams with earlier versions, compared byte for byte with recorded ones.
+"""Datagrams equal, byte for byte, those recorded with earlier versions, so that versions can be mixed.
 
 `datagrams.json` contains datagrams and the messages that they encode. `runs.json` contains hashes of all
 datagrams and of the resulting views of seeded runs on a virtual clock.
@@ -189,9 +189,9 @@
         self.nodes: list[Node | None] = [Node(member, members, 0, 0.0, keys) for member in range(members)]
         self.stopped: set[int] = set()
         for member in range(members):
-            self.at(0.0, lambda member=member: self.tick(member, self.nodes[member]))  # type: ignore[misc]
+            self.schedule(0.0, lambda member=member: self.tick(member, self.nodes[member]))  # type: ignore[misc]
 
-    def at(self, time_s: float, callback: Callable[[], None]) -> None:
+    def schedule(self, time_s: float, callback: Callable[[], None]) -> None:
         heapq.heappush(self.events, (time_s, next(self.order), callback))
 
     def send(self, sender: int, sends: list[OutgoingDatagram]) -> None:
@@ -199,7 +199,7 @@
             self.datagrams += 1
             self.digest.update(b"%d %d %d " % (round(self.now * 1e6), sender, peer) + data)
             if self.random.random() >= 0.1:
-                self.at(
+                self.schedule(
                     self.now + self.random.uniform(0.001, 0.04),
                     lambda peer=peer, data=data: self.receive(peer, sender, data),  # type: ignore[misc]
                 )
@@ -218,7 +218,7 @@
             self.send(member, node.detector.tick(self.now))
             node.integration.refresh(self.now)
         deadline = node.detector.next_deadline() if member not in self.stopped else self.now + 0.1
-        self.at(max(deadline, self.now + 0.01), lambda: self.tick(member, node))
+        self.schedule(max(deadline, self.now + 0.01), lambda: self.tick(member, node))
 
     def leave(self, member: int) -> None:
         node = self.nodes[member]
@@ -266,17 +266,17 @@
 
 def tier_run(members: int, keys: dict[int, bytes], seconds: float) -> dict[str, Any]:
     tier = Tier(members, keys)
-    tier.at(4.0, lambda: tier.stopped.add(1))
-    tier.at(6.0, lambda: tier.kill(2))
-    tier.at(7.5, lambda: tier.stopped.discard(1))
-    tier.at(8.0, lambda: tier.leave(3))
+    tier.schedule(4.0, lambda: tier.stopped.add(1))
+    tier.schedule(6.0, lambda: tier.kill(2))
+    tier.schedule(7.5, lambda: tier.stopped.discard(1))
+    tier.schedule(8.0, lambda: tier.leave(3))
     for index in range(6):
-        tier.at(9.0 + 0.3 * index, lambda index=index: tier.forge(4, 5 + index % 2))  # type: ignore[misc]
-    tier.at(12.0, lambda: tier.start(2))
-    tier.at(13.0, lambda: tier.rejoin(3))
+        tier.schedule(9.0 + 0.3 * index, lambda index=index: tier.forge(4, 5 + index % 2))  # type: ignore[misc]
+    tier.schedule(12.0, lambda: tier.start(2))
+    tier.schedule(13.0, lambda: tier.rejoin(3))
     for member in range(members // 2, members // 2 + members // 5):
-        tier.at(14.0, lambda member=member: tier.stopped.add(member))  # type: ignore[misc]
-        tier.at(19.0, lambda member=member: tier.stopped.discard(member))  # type: ignore[misc]
+        tier.schedule(14.0, lambda member=member: tier.stopped.add(member))  # type: ignore[misc]
+        tier.schedule(19.0, lambda member=member: tier.stopped.discard(member))  # type: ignore[misc]
     tier.run(seconds)
     states = "\n".join("" if node is None else node.state() for node in tier.nodes)
     return {
--- a/tests/recovery/test_pinned_coordinator.py
+++ b/tests/recovery/test_pinned_coordinator.py
@@ -1,4 +1,4 @@
-"""Decisions of the whole coordinator equal those recorded before identifiers were renamed."""
+"""Decisions of the whole coordinator equal the recorded ones for the same events."""
 
 import hashlib
 import json
--- a/tests/recovery/test_pinned_store.py
+++ b/tests/recovery/test_pinned_store.py
@@ -1,4 +1,4 @@
-"""Stored bytes, messages and decisions of recovery equal those recorded before identifiers were renamed."""
+"""Stored bytes, messages and decisions of recovery equal the recorded ones, so that versions can be mixed."""
 
 import hashlib
 import json
--- a/tests/recovery/test_store.py
+++ b/tests/recovery/test_store.py
@@ -43,9 +43,11 @@
 
 
 @pytest.mark.parametrize("power_loss", [False, True])
-@pytest.mark.parametrize("second_end", [0, 1, 5, 12])
-def test_synced_records_survive_a_crash_or_power_loss_at_any_step(power_loss: bool, second_end: int) -> None:
-    result = sweep(power_loss, second_end)
+@pytest.mark.parametrize("second_crash_at", [0, 1, 5, 12])
+def test_synced_records_survive_a_crash_or_power_loss_at_any_step(
+    power_loss: bool, second_crash_at: int
+) -> None:
+    result = sweep(power_loss, second_crash_at)
     assert result.points > 100
     assert (result.wrong, result.failed) == (0, 0)
 
