--- a/tests/decisions/test_pooled_limit.py
+++ b/tests/decisions/test_pooled_limit.py
@@ -6,10 +6,10 @@
 
 import pytest
 from helpers import (
-    COLD_RULES,
     LONG,
     SECOND_US,
     SHORT,
+    SLOW_START_RULES,
     end_attempt,
     endpoints,
     forwards,
@@ -78,7 +78,7 @@
 
 def test_cores_of_warming_engines_count_by_their_capacity_fraction() -> None:
     started_us = 100 * SECOND_US
-    router = make_routers(200, endpoints(10), SHORT, rules=COLD_RULES)[0]
+    router = make_routers(200, endpoints(10), SHORT, rules=SLOW_START_RULES)[0]
     warm_limit = router.pooled_limit.concurrency.limit
     router.handle(started_us, EndpointList(ListScope.DELTA, endpoints(10, started_us=started_us)[5:]))
     assert abs(router.pooled_limit.concurrency.limit - 0.65 * warm_limit) < 1e-6  # 5 engines at 1, 5 at 0.3
