--- a/lilacfront/core/dispatcher.py
+++ b/lilacfront/core/dispatcher.py
@@ -162,7 +162,7 @@
             if self._loop.wait(in_flight.task, until) is None:
                 continue
             if in_flight.task.interrupted:
-                in_flight.task.settle()  # the interruption was meant for an attempt already over
+                in_flight.task.clear_interruption()  # the interruption was meant for an attempt already over
             elif in_flight.decision is None:
                 # The decisions owe an answer past the deadline: the client still gets one.
                 self.cancel(in_flight)
--- a/lilacfront/core/lifecycle.py
+++ b/lilacfront/core/lifecycle.py
@@ -38,5 +38,5 @@
         else:
             sink.clear()
             outcome = upstream.attempt(in_flight.task, decision, in_flight.request, sink, in_flight)
-        in_flight.task.settle()
+        in_flight.task.clear_interruption()
         dispatcher.attempt_ended(in_flight, outcome, sink.has_started)
--- a/lilacfront/discovery/change_log.py
+++ b/lilacfront/discovery/change_log.py
@@ -90,7 +90,7 @@
         self._random = random.Random(seed)
         self._task: Task | None = None
         self._behind_since = math.inf
-        loop.at(loop.now + UNREACHABLE_TIMEOUT_S, self._stop_waiting)
+        loop.call_at(loop.now + UNREACHABLE_TIMEOUT_S, self._stop_waiting)
 
     def move_to(self, address: tuple[str, int]) -> None:
         """Follow the log at this address from now on, from the last event taken."""
@@ -105,7 +105,7 @@
         self._task = task
         while True:
             if task.interrupted:
-                task.settle()
+                task.clear_interruption()
             self._connect_and_follow(task)
             if not task.interrupted:
                 delay_s = RECONNECT_DELAY_S * self._random.uniform(0.5, 1.0)
--- a/lilacfront/frontends/clickhouse_connection.py
+++ b/lilacfront/frontends/clickhouse_connection.py
@@ -68,7 +68,7 @@
             self._stream.write(encode_error(error.status, ErrorCode.BAD_ARGUMENTS, text, keep_alive=False))
         finally:
             self._reader.release_body()
-            self._stream.end(FINISH_TIMEOUT_S)
+            self._stream.close_gracefully(FINISH_TIMEOUT_S)
 
     def _serve(self, task: Task, http_request: HttpRequest, keep_alive: bool) -> None:
         method = http_request.head.method
@@ -76,7 +76,7 @@
             self._answer_ping(method, keep_alive)
             return
         try:
-            request = parse_request(http_request, self._services, self._stream.present)
+            request = parse_request(http_request, self._services, self._stream.is_open_by_poll)
         except InvalidQueryError as error:
             self._stream.write(encode_error(error.status, error.code, error.text, keep_alive, method))
             # A client that repeats it at once must not take the time of the others.
@@ -111,10 +111,10 @@
             elif not self._reader.has_early_capacity:
                 # Unread bytes hide that the client disconnects: the socket is asked for what is behind them.
                 self._loop.wait(task, self._loop.now + CONNECTED_CHECK_INTERVAL_S)
-                if not self._stream.present():
+                if not self._stream.is_open_by_poll():
                     self._cancel(in_flight)
             if task.interrupted:
-                task.settle()
+                task.clear_interruption()
 
     def _cancel(self, in_flight: InFlightRequest) -> None:
         """Nobody is left to take the answer."""
@@ -147,7 +147,7 @@
                 self._stream.close()
             case _ if result.has_started:
                 # Without a last chunk the client can tell that the result is not complete.
-                self._stream.end()
+                self._stream.close_gracefully()
             case Rejected():
                 self._stream.write(encode_rejection(answer, result.keep_alive))
             case Failed():
--- a/lilacfront/frontends/clickhouse_result.py
+++ b/lilacfront/frontends/clickhouse_result.py
@@ -48,7 +48,9 @@
                 return not self._stream.closed
             self._start_streaming()
         assert self.in_flight is not None
-        return self._stream.room(self.in_flight.task, self.in_flight.request.deadline, MAX_UNREAD_BYTES)
+        return self._stream.wait_for_queue_space(
+            self.in_flight.task, self.in_flight.request.deadline, MAX_UNREAD_BYTES
+        )
 
     def finish(self) -> None:
         """Write what is left of a complete result."""
--- a/lilacfront/frontends/connection_handover.py
+++ b/lilacfront/frontends/connection_handover.py
@@ -132,7 +132,7 @@
         if self._registry.successor is None or self.is_transferred or self._stream.closed:
             return False
         # With bytes queued here, two processes would write.
-        return not self._stream.queued and partial_bytes <= MAX_PARTIAL_MESSAGE_BYTES
+        return not self._stream.queued_bytes and partial_bytes <= MAX_PARTIAL_MESSAGE_BYTES
 
     def transfer(
         self, frames: FrameDecoder, pending: tuple[tuple[int, bytes], ...], had_request: bool
--- a/lilacfront/frontends/listener.py
+++ b/lilacfront/frontends/listener.py
@@ -65,7 +65,7 @@
         self.has_partial_message = False
         listener.slots[self] = None
         stream.on_close = self._on_close
-        stream.on_end = self._on_end
+        stream.on_graceful_close = self._on_end
         self.mark_idle(had_request=False)
 
     def mark_idle(self, had_request: bool) -> None:
@@ -79,7 +79,7 @@
         listener.update_watch()
         if listener.drain is not None:
             # In the next turn: the last answer leaves at the end of this one.
-            self.stream.loop.at(self.stream.loop.now, self.apply_drain)
+            self.stream.loop.call_at(self.stream.loop.now, self.apply_drain)
 
     def mark_busy(self) -> None:
         """A request is complete."""
@@ -116,14 +116,14 @@
         match drain.decide(self.stream.loop.now, status):
             # A client may read slowly; its connection closes when its last answer has left.
             case DrainAction.CLOSE if self.is_quiet:
-                self.stream.end()
+                self.stream.close_gracefully()
             case DrainAction.FAIL_PENDING:
                 self.fail_pending()
 
     @property
     def is_quiet(self) -> bool:
         """Whether all answers have left and no unread bytes have come."""
-        return not self.stream.queued and self.stream.quiet()
+        return not self.stream.queued_bytes and self.stream.is_idle()
 
     def _on_end(self) -> None:
         """The connection is being closed in order; the slot is free once the client has closed, too."""
@@ -276,7 +276,7 @@
         """Descriptors or memory have run out: the socket stays readable, so a retry at once would spin."""
         self._evict_idle()
         self._is_pausing = True
-        self.loop.at(self.loop.now + ACCEPT_RETRY_S, self._resume_accepting)
+        self.loop.call_at(self.loop.now + ACCEPT_RETRY_S, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
         self._is_pausing = False
@@ -287,7 +287,7 @@
         """Close one idle connection whose answers have all left; False if there is none."""
         for slot in self._eviction_order():
             if slot.is_quiet:
-                slot.stream.end()
+                slot.stream.close_gracefully()
                 return True
         return False
 
--- a/lilacfront/frontends/platform_connection.py
+++ b/lilacfront/frontends/platform_connection.py
@@ -89,7 +89,7 @@
                 task, self._deferred.resume_at if self._deferred else self._read_deadline
             )
             if task.interrupted:
-                task.settle()
+                task.clear_interruption()
                 if not isinstance(data, bytes):
                     continue
             if data is Wait.TIMED_OUT and self._deferred:
@@ -148,7 +148,7 @@
             # Of a transferred connection the other process has the same socket: no half-close.
             self._stream.close()
         else:
-            self._stream.end()
+            self._stream.close_gracefully()
         self._deferred.clear()
         self._account_partial(0)
         if not self._requests.handover.is_transferred:
@@ -159,7 +159,7 @@
         self._requests.reject_deferred()
         self._account_partial(0)
         self._transferable_task = None
-        task.settle()
+        task.clear_interruption()
         earliest = self._loop.now + MIN_BACKOFF_S
         latest = self._loop.now + UNREADABLE_GRACE_S
         bytes_left = MAX_DROPPED_BYTES
--- a/lilacfront/frontends/platform_requests.py
+++ b/lilacfront/frontends/platform_requests.py
@@ -79,7 +79,7 @@
 
         Of a connection that was transferred, the other process reports the end.
         """
-        return self.handover.is_transferred or self._stream.alive()
+        return self.handover.is_transferred or self._stream.is_open_by_peek()
 
     def _serve(self, task: Task, seqid: int, request: Request) -> None:
         is_closed = self._stream.closed and not self.handover.is_transferred
--- a/lilacfront/lab/fake_services.py
+++ b/lilacfront/lab/fake_services.py
@@ -186,7 +186,7 @@
         """Call a function on the loop's thread; returns or raises what it does."""
         results: queue.SimpleQueue[T | Exception] = queue.SimpleQueue()
         self._calls.put((function, results))
-        self.loop.wake_out.send(b"x")
+        self.loop.wakeup_socket.send(b"x")
         result = results.get(timeout=CALL_TIMEOUT_S)
         if isinstance(result, Exception):
             raise result
--- a/lilacfront/lab/process.py
+++ b/lilacfront/lab/process.py
@@ -40,7 +40,7 @@
         server = StandInServer(loop, behaviour, address, record_file)
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(signal_number, lambda *_: loop.stop())
-        signal.set_wakeup_fd(loop.wake_out.fileno(), warn_on_full_buffer=False)
+        signal.set_wakeup_fd(loop.wakeup_socket.fileno(), warn_on_full_buffer=False)
         on_listening(server.address)
         gc.collect()
         gc.freeze()
--- a/lilacfront/lab/standin.py
+++ b/lilacfront/lab/standin.py
@@ -141,7 +141,7 @@
         if server.started_at + delay_s <= received_at:
             finish()
         else:
-            self.loop.at(server.started_at + delay_s, finish)
+            self.loop.call_at(server.started_at + delay_s, finish)
 
     def discard_request(self, request_id: str) -> None:
         """The request gets no answer from now on."""
--- a/lilacfront/lab/virtual_clock.py
+++ b/lilacfront/lab/virtual_clock.py
@@ -44,7 +44,7 @@
     give_up_at = time.monotonic() + SETTLE_TIMEOUT_S
     while not done():
         loop.turn(0)
-        if loop.ready or loop.dirty:
+        if loop.ready or loop.pending_flushes:
             continue
         if not settled():
             if time.monotonic() > give_up_at:
@@ -52,7 +52,7 @@
             loop.turn(POLL_INTERVAL_S)
             continue
         give_up_at = time.monotonic() + SETTLE_TIMEOUT_S
-        if (due := loop.due()) is not None:
+        if (due := loop.next_timer_at()) is not None:
             clock.now = max(clock.now, due)
         elif not done():
             raise RuntimeError("no timer is left that could complete the run")
--- a/lilacfront/operations/admin_server.py
+++ b/lilacfront/operations/admin_server.py
@@ -109,7 +109,7 @@
         sock.setblocking(False)
         server.connections[sock.fileno()] = self
         self._watch(select.POLLIN)
-        self._loop.at(self._loop.now + REQUEST_TIMEOUT_S, self.close)
+        self._loop.call_at(self._loop.now + REQUEST_TIMEOUT_S, self.close)
         self._read()  # the request has usually arrived already
 
     def _watch(self, events: int) -> None:
@@ -147,7 +147,7 @@
         self._answered = True
         self._unsent = response.encode()
         self._write()
-        self._loop.at(self._loop.now + CLOSE_TIMEOUT_S, self.close)
+        self._loop.call_at(self._loop.now + CLOSE_TIMEOUT_S, self.close)
 
     def _write(self) -> None:
         try:
--- a/lilacfront/operations/connection_transfer.py
+++ b/lilacfront/operations/connection_transfer.py
@@ -150,7 +150,7 @@
                 if error.errno == errno.ETOOMANYREFS:
                     # The kernel limits the number of descriptors in flight. Retry once the other process
                     # has received some of them.
-                    self._loop.at(self._loop.now + RETRY_DELAY_S, self._flush)
+                    self._loop.call_at(self._loop.now + RETRY_DELAY_S, self._flush)
                     return
                 log.warning("transfer channel broken", error=error)
                 self.close()
--- a/lilacfront/sched/__init__.py
+++ b/lilacfront/sched/__init__.py
@@ -2,6 +2,6 @@
 
 from lilacfront.sched.chunk import Chunk
 from lilacfront.sched.loop import Interrupted, Loop, Task, TimedOut, Wait
-from lilacfront.sched.stream import Stream, Unconnected
+from lilacfront.sched.stream import ConnectFailure, Stream
 
-__all__ = ["Chunk", "Interrupted", "Loop", "Stream", "Task", "TimedOut", "Unconnected", "Wait"]
+__all__ = ["Chunk", "ConnectFailure", "Interrupted", "Loop", "Stream", "Task", "TimedOut", "Wait"]
--- a/lilacfront/sched/channel.py
+++ b/lilacfront/sched/channel.py
@@ -1,4 +1,4 @@
-"""Values and events that one task hands to others."""
+"""A queue and a one-time event for the communication between tasks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Channel(Generic[T]):
-    """A queue with one reader.
+    """An unbounded queue of values with a single reader.
 
     Attributes:
         loop: The loop that the reader's task belongs to.
@@ -45,24 +45,24 @@
         return self._items.popleft()
 
 
-class Gate:
-    """An event that occurs once and that many tasks may wait for.
+class OneTimeEvent:
+    """An event that occurs once; any number of tasks may wait for it.
 
     Attributes:
         loop: The loop that the tasks belong to.
-        open: Whether the event has occurred.
+        is_set: Whether the event has occurred.
     """
 
-    __slots__ = ("_waiters", "loop", "open")
+    __slots__ = ("_waiters", "is_set", "loop")
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
-        self.open = False
+        self.is_set = False
         self._waiters: list[Task] = []
 
     def set(self) -> None:
-        """Let the event occur and wake all tasks that wait for it."""
-        self.open = True
+        """Mark the event as occurred and wake all tasks that wait for it."""
+        self.is_set = True
         for task in self._waiters:
             task.wake(None)
         self._waiters.clear()
@@ -73,7 +73,7 @@
         Returns:
             None once the event has occurred, else how the wait ended.
         """
-        while not self.open:
+        while not self.is_set:
             self._waiters.append(task)
             ended = self.loop.wait(task, until)
             if isinstance(ended, Wait):
--- a/lilacfront/sched/chunk.py
+++ b/lilacfront/sched/chunk.py
@@ -6,15 +6,16 @@
 
 
 class Chunk:
-    """Bytes that are queued on a stream, and how far they have been sent.
+    """Bytes that are queued on a stream, and the number of them that have been sent.
 
-    A chunk may carry a permit, a predicate that is asked right before its first byte would be sent.
+    A chunk may have a permit: a function that is called right before the first byte is sent. If it returns
+    False, the chunk is withdrawn and nothing of it is sent.
 
     Attributes:
-        data: All of the bytes.
-        sent: How many of them the kernel has taken.
-        withdrawn: Whether the bytes will not be sent.
-        permit: Whether the first byte may be sent now.
+        data: The queued bytes, including those that have been sent.
+        sent: The number of bytes that the kernel has accepted.
+        withdrawn: Whether the chunk has been withdrawn; none of its bytes has been or will be sent.
+        permit: Returns whether the first byte may be sent now; None if no permit is needed.
     """
 
     __slots__ = ("data", "permit", "sent", "withdrawn")
@@ -26,18 +27,22 @@
         self.permit = permit
 
     @property
-    def whole(self) -> bool:
-        """Whether the kernel has taken all of the bytes."""
+    def is_fully_sent(self) -> bool:
+        """Whether the kernel has accepted all of the bytes."""
         return self.sent == len(self.data)
 
     def withdraw(self) -> bool:
-        """Take the bytes back; returns False if some of them have been sent."""
+        """Withdraw the chunk unless a part of it has been sent; returns whether it is withdrawn."""
         self.withdrawn = self.withdrawn or self.sent == 0
         return self.withdrawn
 
     @property
-    def leaves(self) -> bool:
-        """Whether the bytes may be sent now; a chunk that is refused its permit is withdrawn."""
+    def is_sendable(self) -> bool:
+        """Whether the bytes may be sent now.
+
+        This calls the permit if nothing has been sent yet, and withdraws the chunk if the permit returns
+        False.
+        """
         if not self.withdrawn and self.sent == 0 and self.permit is not None and not self.permit():
             self.withdrawn = True
         return not self.withdrawn
--- a/lilacfront/sched/loop.py
+++ b/lilacfront/sched/loop.py
@@ -1,9 +1,9 @@
 """An event loop of greenlets over select.poll.
 
-Every wait has a deadline, and interrupting its task ends it early. A wait returns a value that says how it
-ended; no exception tells that time is up. Times are seconds of `Loop.now`, which by default runs with the
-monotonic clock and starts at the Unix time, so that it can be compared with the clocks of other machines and
-never jumps.
+Every wait has a deadline and ends early when its task is interrupted. The return value of a wait says how it
+ended; a timeout raises no exception. Times are in seconds on the clock of `Loop.now`. By default that clock
+is the monotonic clock plus a constant offset, which makes it equal to the Unix time at the start of the
+loop. It never jumps, and its times can be compared with the clocks of other machines.
 """
 
 from __future__ import annotations
@@ -24,17 +24,17 @@
 from lilacfront.logs import Log
 
 log = Log(__name__)
-# The timers of ended waits that stay in the heap before it is rebuilt without them.
+# The number of timers of ended waits in the heap, beyond the number of active ones, that causes a rebuild.
 MAX_STALE_TIMERS = 256
-# The longest poll, so that a lost wake-up can't stall the program.
+# The longest time that one poll may block, so that a lost wake-up can't stall the program.
 MAX_POLL_S = 1.0
-# The bytes that all streams together may have queued.
+# The default limit of the bytes queued on all streams together.
 MAX_QUEUED_BYTES = 32 << 20
-WAKE_READ_BYTES = 4096
+WAKEUP_READ_BYTES = 4096
 
 
 class Wait(Enum):
-    """How a wait ended that brought no value."""
+    """How a wait ended if the task was not woken with a value."""
 
     TIMED_OUT = "timed out"
     INTERRUPTED = "interrupted"
@@ -45,65 +45,66 @@
 
 
 class Task:
-    """One greenlet of a loop.
+    """A function that a loop runs in its own greenlet.
 
     Attributes:
         loop: The loop that runs the task.
-        interrupted: Whether the task has been interrupted and has not settled that.
-        waiting: The ticket of the current wait; 0 if the task does not wait.
+        interrupted: Whether the task has been interrupted and has not called `clear_interruption` since.
+        wait_ticket: The unique number of the current wait; 0 if the task is not waiting.
     """
 
-    __slots__ = ("_greenlet", "interrupted", "loop", "waiting")
+    __slots__ = ("_greenlet", "interrupted", "loop", "wait_ticket")
 
     def __init__(self, loop: Loop, run: Callable[..., None], args: tuple[Any, ...]) -> None:
         self.loop = loop
         self.interrupted = False
-        self.waiting = 0
+        self.wait_ticket = 0
         self._greenlet = greenlet.greenlet(lambda _: self._run(run, args), loop.hub)
 
     def _run(self, run: Callable[..., None], args: tuple[Any, ...]) -> None:
         try:
             run(self, *args)
         except Exception:
-            # A failure of one connection or request must not end the others.
+            # An exception in the task of one connection or request must not end the other tasks.
             log.exception("a task failed")
 
     def interrupt(self) -> None:
-        """End the current wait of the task, or else its next one."""
+        """End the current wait of the task, or its next wait if the task is running."""
         self.interrupted = True
         self.wake(Interrupted)
 
-    def settle(self) -> None:
-        """Acknowledge the interruption, so that later waits are not ended by it."""
+    def clear_interruption(self) -> None:
+        """Clear the interruption, so that it does not end later waits."""
         self.interrupted = False
 
     def wake(self, value: object, ticket: int | None = None) -> None:
         """End the current wait with a value.
 
         Args:
-            value: What the wait returns.
-            ticket: The wait to be ended; another one goes on. None is any wait.
+            value: The return value of the wait.
+            ticket: The ticket of the wait to end; a wait with another ticket is not ended. None ends
+                any wait.
         """
-        if self.waiting and ticket in (None, self.waiting):
-            self.waiting = 0
+        if self.wait_ticket and ticket in (None, self.wait_ticket):
+            self.wait_ticket = 0
             self.loop.ready.append((self, value))
 
-    def switch(self, value: object) -> None:
-        """Run the task until its next wait; called by the loop alone."""
+    def resume(self, value: object) -> None:
+        """Run the task until its next wait. Only the loop may call this."""
         self._greenlet.switch(value)
 
 
 class Writer(Protocol):
-    """A stream with bytes that its peer has not taken.
+    """A stream with queued bytes that the kernel has not accepted yet.
 
     Attributes:
-        queued: The number of those bytes.
+        queued_bytes: The number of those bytes.
     """
 
-    queued: int
+    queued_bytes: int
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately."""
 
 
 class Loop:
@@ -114,13 +115,14 @@
     Attributes:
         hub: The greenlet of the loop itself.
         now: The time of the current turn, in seconds.
-        ready: Tasks to be run in this turn, with the values that their waits return.
-        dirty: Flushes to be called at the end of this turn, in order.
-        writing: Streams whose bytes the kernel has not all taken.
-        queued: The bytes that are queued on all streams together.
-        queued_most: The bytes from which on the stream with the longest queue is closed.
+        ready: The tasks to run in this turn, each with the return value of its wait.
+        pending_flushes: The flushes to call at the end of this turn, in the order of insertion.
+        unflushed_streams: The streams that wait until the kernel accepts more of their queued bytes.
+        queued_bytes: The number of bytes that are queued on all streams together.
+        max_queued_bytes: The limit of `queued_bytes`. Above it, the unflushed stream with the longest queue
+            is closed.
         stopping: Whether the loop ends after this turn.
-        wake_out: A socket that wakes the loop when a byte is written to it, from any thread.
+        wakeup_socket: A byte that any thread writes to this socket wakes the loop.
     """
 
     def __init__(self, clock: Callable[[], float] | None = None, spin_s: float = 0.0) -> None:
@@ -128,9 +130,9 @@
 
         Args:
             clock: Returns the time in seconds.
-            spin_s: The last part of a wait for a timer that is spent in a busy loop. poll counts in whole
-                milliseconds and returns late by a fraction of one; a process that must keep a schedule more
-                precisely, and has a core for itself, spins for a millisecond or two.
+            spin_s: How long before a timer the loop stops blocking in poll and busy-waits, in seconds. The
+                timeout of poll is in whole milliseconds, so poll returns up to a millisecond late. A process
+                that needs a more precise schedule and has a core for itself sets 1 or 2 ms.
         """
         self.spin_s = spin_s
         self.hub = greenlet.getcurrent()
@@ -138,25 +140,25 @@
         self._clock = clock or (lambda: time.monotonic() + offset)
         self.now = self._clock()
         self.ready: deque[tuple[Task, object]] = deque()
-        self.dirty: dict[Callable[[], None], None] = {}
-        self.writing: set[Writer] = set()
-        self.queued = 0
-        self.queued_most = MAX_QUEUED_BYTES
+        self.pending_flushes: dict[Callable[[], None], None] = {}
+        self.unflushed_streams: set[Writer] = set()
+        self.queued_bytes = 0
+        self.max_queued_bytes = MAX_QUEUED_BYTES
         self._poll = select.poll()
         self._watched: dict[int, Callable[[int], None]] = {}
-        # Deadlines and tickets; the ticket of an ended wait has no entry in `_due`.
+        # A heap of times and tickets; a ticket whose wait has ended has no entry in `_timer_targets`.
         self._timers: list[tuple[float, int]] = []
-        self._due: dict[int, Callable[[], None] | Task] = {}
+        self._timer_targets: dict[int, Callable[[], None] | Task] = {}
         self._tickets = count(1)
         self.stopping = False
-        self._wake_in, self.wake_out = socket.socketpair()
-        for end in (self._wake_in, self.wake_out):
+        self._wakeup_receiver, self.wakeup_socket = socket.socketpair()
+        for end in (self._wakeup_receiver, self.wakeup_socket):
             end.setblocking(False)
-        self.watch(self._wake_in.fileno(), select.POLLIN, lambda _: self._drain_wakes())
+        self.watch(self._wakeup_receiver.fileno(), select.POLLIN, lambda _: self._discard_wakeup_bytes())
 
-    def _drain_wakes(self) -> None:
+    def _discard_wakeup_bytes(self) -> None:
         with contextlib.suppress(BlockingIOError):
-            while self._wake_in.recv(WAKE_READ_BYTES):
+            while self._wakeup_receiver.recv(WAKEUP_READ_BYTES):
                 pass
 
     def clock(self) -> float:
@@ -165,18 +167,18 @@
         return self.now
 
     def spawn(self, run: Callable[..., None], *args: Any) -> Task:
-        """Start `run(task, *args)` in a task of its own, within this turn."""
+        """Create a task that runs `run(task, *args)`; it starts within this turn."""
         task = Task(self, run, args)
         self.ready.append((task, None))
         return task
 
-    def wait(self, task: Task, until: float, arm: Callable[[int], None] | None = None) -> object:
+    def wait(self, task: Task, until: float, before_suspend: Callable[[int], None] | None = None) -> object:
         """Suspend the running task until it is woken or interrupted, or a time is reached.
 
         Args:
             task: The running task.
             until: The deadline, in seconds.
-            arm: Called with the wait's ticket before the task is suspended.
+            before_suspend: Called with the ticket of the wait before the task is suspended.
 
         Returns:
             The value that the task was woken with, or how the wait ended without one.
@@ -186,18 +188,18 @@
         if until <= self.now:
             return TimedOut
         ticket = next(self._tickets)
-        task.waiting = ticket
-        if arm is not None:
-            arm(ticket)
+        task.wait_ticket = ticket
+        if before_suspend is not None:
+            before_suspend(ticket)
         heapq.heappush(self._timers, (until, ticket))
-        self._due[ticket] = task
+        self._timer_targets[ticket] = task
         woken = self.hub.switch()
-        # A wait that ended early must not keep its task and timer until its deadline.
+        # Without this, the task and timer of a wait that ended early would stay in memory until the deadline.
         if (
-            self._due.pop(ticket, None) is not None
-            and len(self._timers) > 2 * len(self._due) + MAX_STALE_TIMERS
+            self._timer_targets.pop(ticket, None) is not None
+            and len(self._timers) > 2 * len(self._timer_targets) + MAX_STALE_TIMERS
         ):
-            self._timers = [timer for timer in self._timers if timer[1] in self._due]
+            self._timers = [timer for timer in self._timers if timer[1] in self._timer_targets]
             heapq.heapify(self._timers)
         return woken
 
@@ -206,16 +208,16 @@
         self.wait(task, until)
         return Interrupted if task.interrupted else TimedOut
 
-    def at(self, when: float, call: Callable[[], None]) -> None:
-        """Call a function at a time, in seconds."""
+    def call_at(self, when: float, call: Callable[[], None]) -> None:
+        """Call a function once at the given time, in seconds."""
         ticket = next(self._tickets)
         heapq.heappush(self._timers, (when, ticket))
-        self._due[ticket] = call
+        self._timer_targets[ticket] = call
 
     def watch(self, fd: int, events: int, call: Callable[[int], None]) -> None:
-        """Call a function with the events that poll reports of a descriptor.
+        """Call a function with the poll events of a descriptor whenever there are any.
 
-        An earlier watch of the descriptor is replaced.
+        This replaces an earlier watch of the descriptor.
         """
         self._watched[fd] = call
         self._poll.register(fd, events)
@@ -225,12 +227,16 @@
         if self._watched.pop(fd, None) is not None:
             self._poll.unregister(fd)
 
-    def queue(self, size: int) -> None:
-        """Account for bytes that were queued on a stream, or left its queue if negative."""
-        self.queued += size
-        if size > 0 and self.queued > self.queued_most and self.writing:
-            # Many peers that do not read, each within its own limit, must not fill the memory.
-            max(self.writing, key=lambda stream: stream.queued).close()
+    def add_queued_bytes(self, size: int) -> None:
+        """Add to the count of queued bytes; `size` is negative when bytes have left the queue of a stream.
+
+        Above the limit, the unflushed stream with the longest queue is closed.
+        """
+        self.queued_bytes += size
+        if size > 0 and self.queued_bytes > self.max_queued_bytes and self.unflushed_streams:
+            # Otherwise many peers that do not read could use up the memory, although each of them stays
+            # within the limit of its own stream.
+            max(self.unflushed_streams, key=lambda stream: stream.queued_bytes).close()
 
     def stop(self) -> None:
         """Let `run` return after this turn."""
@@ -238,63 +244,64 @@
 
     def close(self) -> None:
         """Close the loop's own sockets."""
-        for end in (self._wake_in, self.wake_out):
+        for end in (self._wakeup_receiver, self.wakeup_socket):
             end.close()
 
     def run(self) -> None:
-        """Take turns until the loop is stopped."""
+        """Run turns until `stop` is called."""
         while not self.stopping:
             self.turn(MAX_POLL_S)
 
-    def due(self) -> float | None:
-        """When the next timer is due; None if there is none."""
-        while self._timers and self._timers[0][1] not in self._due:
+    def next_timer_at(self) -> float | None:
+        """The time of the earliest active timer, in seconds; None if there is none."""
+        while self._timers and self._timers[0][1] not in self._timer_targets:
             heapq.heappop(self._timers)
         return self._timers[0][0] if self._timers else None
 
-    def turn(self, most: float) -> None:
-        """Wait for an event or a timer, at most `most` seconds, then run all that is ready."""
-        timeout_s = self._poll_timeout_s(most)
-        # Rounded up, so that a timer is due when poll returns; with `spin_s` down, so that it is not yet.
+    def turn(self, max_wait_s: float) -> None:
+        """Wait up to `max_wait_s` for an event or a timer, then run all callbacks, tasks and flushes."""
+        timeout_s = self._poll_timeout_s(max_wait_s)
+        # Without `spin_s` the timeout is rounded up, so that the timer has expired when poll returns. With
+        # `spin_s` it is rounded down, so that poll returns before the timer expires.
         timeout_ms = max(0, int((timeout_s - self.spin_s) * 1000)) + (timeout_s > 0 and not self.spin_s)
         events = self._poll.poll(timeout_ms)
         self.clock()
-        for fd, what in events:
+        for fd, mask in events:
             # An earlier callback of this turn may have ended the watch.
             call = self._watched.get(fd)
             if call is not None:
-                self._call_safely(call, what)
+                self._call_safely(call, mask)
         if self._timers and self._timers[0][0] <= self.now:
             self._fire_timers()
         while self.ready:
             task, value = self.ready.popleft()
-            task.switch(value)
-        while self.dirty:
-            flushes = self.dirty
-            self.dirty = {}
+            task.resume(value)
+        while self.pending_flushes:
+            flushes = self.pending_flushes
+            self.pending_flushes = {}
             for flush in flushes:
                 self._call_safely(flush)
 
-    def _poll_timeout_s(self, most: float) -> float:
-        if self.ready or self.dirty:
+    def _poll_timeout_s(self, max_wait_s: float) -> float:
+        if self.ready or self.pending_flushes:
             return 0.0
-        due = self.due()
-        if due is not None:
-            return min(most, max(0.0, due - self.clock()))
-        return most
+        timer_at = self.next_timer_at()
+        if timer_at is not None:
+            return min(max_wait_s, max(0.0, timer_at - self.clock()))
+        return max_wait_s
 
     def _fire_timers(self) -> None:
         while self._timers and self._timers[0][0] <= self.now:
             ticket = heapq.heappop(self._timers)[1]
-            waiting = self._due.pop(ticket, None)
-            if isinstance(waiting, Task):
-                waiting.wake(TimedOut, ticket)
-            elif waiting is not None:
-                self._call_safely(waiting)
+            target = self._timer_targets.pop(ticket, None)
+            if isinstance(target, Task):
+                target.wake(TimedOut, ticket)
+            elif target is not None:
+                self._call_safely(target)
 
     def _call_safely(self, call: Callable[..., None], *args: Any) -> None:
         try:
             call(*args)
         except Exception:
-            # A failure for one connection must not end the loop for all.
+            # An exception in the callback of one connection must not end the loop for the others.
             log.exception("a call of the loop failed")
--- a/lilacfront/sched/stream.py
+++ b/lilacfront/sched/stream.py
@@ -1,11 +1,12 @@
-"""A TCP connection whose reads wait and whose writes are queued, bounded and never wait.
+"""A TCP connection whose reads block the task and whose writes go to a bounded queue without blocking.
 
-Written bytes stay a `Chunk` until the kernel has taken them, so that a caller can tell how many of them were
-sent when the connection ends, and can withdraw bytes that were not. A chunk may need a permit, which is asked
-for right before its first byte is sent.
+The bytes of each write stay in the queue as a `Chunk` until the kernel has accepted them. When the connection
+ends, the caller can tell from the chunk how many bytes were sent. It can withdraw a chunk as long as none of
+its bytes has been sent. A chunk may have a permit, a function that is called right before its first byte is
+sent.
 
-A connection is closed in order by `Stream.end` (half-close, drain, close) or at once by `Stream.close`; there
-is no other way.
+A connection is closed in one of two ways: `Stream.close_gracefully` sends the queued bytes, half-closes the
+connection, discards input until the peer closes, and then closes; `Stream.close` closes immediately.
 """
 
 from __future__ import annotations
@@ -22,89 +23,91 @@
 from lilacfront.sched.loop import Loop, Task, Wait
 
 READ_BYTES = 65536
-# A peer that takes no bytes for so long is disconnected.
+# A peer that accepts no bytes for this time while bytes are queued is disconnected.
 MAX_STALL_S = 5.0
-# The bytes that are read and dropped from a peer that goes on sending after the half-close.
-MAX_DRAINED_BYTES = 1 << 20
-# How long a closed connection waits for its peer to close, too.
+# The most bytes that are read and discarded from a peer that keeps sending after the half-close.
+MAX_DISCARDED_BYTES = 1 << 20
+# How long a half-closed connection waits by default for its peer to close.
 LINGER_S = 0.5
-# The chunks of one system call.
+# The most chunks that one system call sends.
 MAX_GATHERED_CHUNKS = 64
 READABLE = select.POLLIN | select.POLLHUP | select.POLLERR
 WRITABLE = select.POLLOUT | select.POLLHUP | select.POLLERR
 
 
-class Unconnected(Enum):
-    """Why a connection could not be established. Nothing has been written in any case."""
+class ConnectFailure(Enum):
+    """Why a connection could not be established. No byte has been written in any of these cases."""
 
-    LATE = "not up in time, or the wait was interrupted"
+    TIMED_OUT_OR_INTERRUPTED = "not up in time, or the wait was interrupted"
     REFUSED = "refused, or no way there"
     NO_DESCRIPTOR = "this process has no descriptor left: nothing is known of the peer"
 
 
 class Stream:
-    """One socket, connected or connecting.
+    """A TCP socket that is connected or connecting.
 
-    It ends once: by the peer, by an error, by `end` or by `close`. The descriptor may be held after `end`
-    until the queued bytes are sent and the peer has closed, too.
+    The stream ends when the peer closes, on an error, or by a call of `close_gracefully` or `close`. After
+    `close_gracefully`, the descriptor stays open until the queued bytes are sent and the peer has closed, or
+    until a time limit has passed.
 
     Attributes:
         loop: The loop that watches the socket.
         sock: The socket.
-        most_queued: The queued bytes from which on the peer is disconnected.
-        closed: Whether the stream has ended for its owner: nothing more is read or written.
-        on_end: Called by `end`, when the stream ends for its owner.
+        max_queued_bytes: The limit of `queued_bytes`; above it the peer is disconnected.
+        closed: Whether the owner can't read or write any more.
+        on_graceful_close: Called when a graceful close begins.
         on_close: Called when the descriptor has been closed.
-        queued: The bytes that have been written and not taken by the kernel.
+        queued_bytes: The size of the chunks in the queue. A chunk counts in full until the kernel has
+            accepted all of it or it is withdrawn.
     """
 
-    def __init__(self, loop: Loop, sock: socket.socket, most_queued: int) -> None:
+    def __init__(self, loop: Loop, sock: socket.socket, max_queued_bytes: int) -> None:
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.loop = loop
         self.sock = sock
-        self.most_queued = most_queued
+        self.max_queued_bytes = max_queued_bytes
         self.closed = False
-        self.on_end: Callable[[], None] = lambda: None
+        self.on_graceful_close: Callable[[], None] = lambda: None
         self.on_close: Callable[[], None] = lambda: None
-        self.queued = 0
+        self.queued_bytes = 0
         self._is_released = False
         self._chunks: deque[Chunk] = deque()
         self._reader: Task | None = None
         self._connector: Task | None = None
-        # The task that waits until at most `_queue_target` bytes are queued.
+        # The task that waits until `queued_bytes` is at most `_queue_target`.
         self._queue_waiter: Task | None = None
         self._queue_target = 0
-        # Whether the last read emptied the socket's buffer, so that the next one waits for poll first.
-        self._is_drained = False
+        # Whether the last read seems to have emptied the receive buffer. If so, the next read polls first.
+        self._is_input_empty = False
         self._awaits_writable = False
         self._progress_at = loop.now
         self._poll_mask = 0
 
     @classmethod
     def connect(
-        cls, loop: Loop, task: Task, address: tuple[str, int], until: float, most: int
-    ) -> Stream | Unconnected:
+        cls, loop: Loop, task: Task, address: tuple[str, int], until: float, max_queued_bytes: int
+    ) -> Stream | ConnectFailure:
         """Connect to an address.
 
-        It raises nothing, so that a task that runs for the life of the process does not end when
-        descriptors have run out for a while.
+        Failures are returned and not raised, so that running out of descriptors for a while does not end a
+        task that runs for the lifetime of the process.
 
         Args:
             loop: The loop that the stream belongs to.
             task: The running task.
             address: The peer's host and port.
             until: The deadline, in seconds.
-            most: The stream's `most_queued`.
+            max_queued_bytes: The limit of the bytes queued on the stream.
 
         Returns:
-            The connected stream, or why there is none.
+            The connected stream, or the reason for the failure.
         """
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError:
-            return Unconnected.NO_DESCRIPTOR
-        stream = cls(loop, sock, most)
+            return ConnectFailure.NO_DESCRIPTOR
+        stream = cls(loop, sock, max_queued_bytes)
         code = sock.connect_ex(address)
         if code == errno.EINPROGRESS:
             stream._connector = task
@@ -113,16 +116,16 @@
             stream._connector = None
             if isinstance(ended, Wait):
                 stream.close()
-                return Unconnected.LATE
+                return ConnectFailure.TIMED_OUT_OR_INTERRUPTED
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
             stream.close()
-            return Unconnected.REFUSED
+            return ConnectFailure.REFUSED
         stream._update_watch()
         return stream
 
     def _update_watch(self) -> None:
-        """Watch the socket for what is awaited now."""
+        """Watch the socket for the events that a task or the queue is waiting for."""
         if self._is_released:
             return
         mask = select.POLLIN if self._reader is not None else 0
@@ -151,11 +154,11 @@
     def read(self, task: Task, until: float) -> bytes | Wait:
         """Wait for bytes until a time, in seconds.
 
-        Nothing that arrives after `end` is returned, so that no request is acted on that was read after this
-        end was closed.
+        Bytes that arrive after the call of `close_gracefully` are not returned, so that no request is handled
+        that was read after this side began to close the connection.
 
         Returns:
-            The bytes as soon as any have arrived, b'' once the connection has ended, or how the wait ended.
+            The received bytes, b'' if the connection has ended, or how the wait ended if it brought neither.
         """
         while not self.closed:
             received = self._receive(task, until)
@@ -164,35 +167,40 @@
         return b""
 
     def _receive(self, task: Task, until: float) -> bytes | Wait | None:
-        """Read once; None if the task was woken before anything was read."""
+        """Read once; returns None if the task was woken before it read anything."""
         if self._is_released:
             return b""
-        # After a short read most likely nothing more has arrived: poll tells without a further call.
-        if not self._is_drained or until <= self.loop.now:
+        # A short read has most likely emptied the receive buffer. Waiting for poll then saves a recv call
+        # that would fail.
+        if not self._is_input_empty or until <= self.loop.now:
             try:
                 data = self.sock.recv(READ_BYTES)
-                self._is_drained = 0 < len(data) < READ_BYTES
+                self._is_input_empty = 0 < len(data) < READ_BYTES
                 return data
             except BlockingIOError:
                 pass
             except OSError:
                 return b""
-        self._is_drained = False
+        self._is_input_empty = False
         self._reader = task
         if not self._poll_mask & select.POLLIN:
             self._update_watch()
         ended = self.loop.wait(task, until)
-        # The watch stays, since most readers read again at once; `_handle_events` ends it otherwise.
+        # The socket stays watched, because most readers read again immediately. If this one does not, the
+        # next event ends the watch in `_handle_events`.
         self._reader = None
         if ended is Wait.TIMED_OUT:
-            # Bytes that arrived in this very moment take precedence, or the connection would be closed
-            # over them.
+            # Bytes that arrived together with the timeout take precedence; the caller would otherwise close
+            # the connection with unread bytes.
             with contextlib.suppress(BlockingIOError, OSError):
                 return self.sock.recv(READ_BYTES)
         return ended if isinstance(ended, Wait) else None
 
-    def alive(self) -> bool:
-        """Whether the peer has not closed its side, as far as the next unread byte tells."""
+    def is_open_by_peek(self) -> bool:
+        """Whether the connection is open according to a peek at the next unread byte.
+
+        A close by the peer is not detected while bytes before it are unread.
+        """
         try:
             return not self.closed and bool(self.sock.recv(1, socket.MSG_PEEK))
         except BlockingIOError:
@@ -200,16 +208,19 @@
         except OSError:
             return False
 
-    def present(self) -> bool:
-        """Whether the peer has not closed its side, even behind bytes that have not been read."""
+    def is_open_by_poll(self) -> bool:
+        """Whether the connection is open according to poll.
+
+        A close by the peer is detected even while bytes before it are unread.
+        """
         if self.closed:
             return False
         poll = select.poll()
         poll.register(self.sock.fileno(), select.POLLRDHUP)
         return not poll.poll(0)
 
-    def quiet(self) -> bool:
-        """Whether the connection is open and nothing is unread."""
+    def is_idle(self) -> bool:
+        """Whether the connection is open and has no unread bytes."""
         try:
             return not self.closed and len(self.sock.recv(1, socket.MSG_PEEK)) > 1
         except BlockingIOError:
@@ -218,9 +229,10 @@
             return False
 
     def write(self, data: bytes, permit: Callable[[], bool] | None = None) -> Chunk:
-        """Queue bytes, which are sent at the end of this turn if `permit` returns True then.
+        """Queue bytes, to be sent at the end of this turn if there is no `permit` or it returns True then.
 
-        A peer with too many queued bytes is disconnected, so that it can't fill this process's memory.
+        If more than `max_queued_bytes` are queued after this write, the peer is disconnected, so that a peer
+        that does not read can't use up the memory of this process.
         """
         chunk = Chunk(data, permit)
         if self.closed:
@@ -228,22 +240,23 @@
         if not self._chunks:
             self._progress_at = self.loop.now
         self._chunks.append(chunk)
-        self.queued += len(data)
-        self.loop.queue(len(data))
-        if self.queued > self.most_queued:
+        self.queued_bytes += len(data)
+        self.loop.add_queued_bytes(len(data))
+        if self.queued_bytes > self.max_queued_bytes:
             self.close()
         elif not self._awaits_writable:
-            self.loop.dirty[self.flush] = None
+            self.loop.pending_flushes[self.flush] = None
         return chunk
 
-    def room(self, task: Task, until: float, most: int) -> bool:
-        """Wait until at most `most` bytes are queued.
+    def wait_for_queue_space(self, task: Task, until: float, target: int) -> bool:
+        """Wait until at most `target` bytes are queued, or until a time, in seconds.
 
         Returns:
-            False if that is not so at the deadline, or the connection has ended.
+            True if at most `target` bytes are queued. False if the wait timed out or was interrupted, or if
+            the connection has ended.
         """
-        while not self.closed and self.queued > most:
-            if isinstance(self._wait_for_queue(task, until, most), Wait):
+        while not self.closed and self.queued_bytes > target:
+            if isinstance(self._wait_for_queue(task, until, target), Wait):
                 return False
         return not self.closed
 
@@ -255,12 +268,12 @@
         return ended
 
     def flush(self) -> None:
-        """Hand the kernel as many queued bytes as it takes now."""
+        """Send as many queued bytes as the kernel accepts now."""
         while self._chunks and not self._is_released:
-            self._drop_finished()
-            batch = [chunk for chunk in list(self._chunks)[:MAX_GATHERED_CHUNKS] if chunk.leaves]
+            self._remove_finished_chunks()
+            batch = [chunk for chunk in list(self._chunks)[:MAX_GATHERED_CHUNKS] if chunk.is_sendable]
             if not batch:
-                # All of them have been withdrawn; the next pass drops them.
+                # All chunks of the batch are withdrawn; the next iteration removes them from the queue.
                 if self._chunks:
                     continue
                 break
@@ -277,32 +290,32 @@
                 part = min(sent, len(chunk.data) - chunk.sent)
                 chunk.sent += part
                 sent -= part
-        self._drop_finished()
+        self._remove_finished_chunks()
         if not self._is_released:
-            self._flushed()
+            self._update_after_flush()
 
-    def _flushed(self) -> None:
-        """Wake the task that waits for the queue, and wait for the socket if bytes are left."""
-        if self._queue_waiter is not None and self.queued <= self._queue_target:
+    def _update_after_flush(self) -> None:
+        """Wake the task that waits for the queue, and watch for writability while bytes are queued."""
+        if self._queue_waiter is not None and self.queued_bytes <= self._queue_target:
             self._queue_waiter.wake(None)
         has_queue = bool(self._chunks)
         if has_queue == self._awaits_writable:
             return
         self._awaits_writable = has_queue
         if has_queue:
-            self.loop.writing.add(self)
+            self.loop.unflushed_streams.add(self)
         else:
-            self.loop.writing.discard(self)
+            self.loop.unflushed_streams.discard(self)
         self._update_watch()
         if has_queue:
             self._check_stall()
 
-    def _drop_finished(self) -> None:
-        """Drop the chunks at the head of the queue that have been sent or withdrawn."""
-        while self._chunks and (self._chunks[0].withdrawn or self._chunks[0].whole):
+    def _remove_finished_chunks(self) -> None:
+        """Remove fully sent and withdrawn chunks from the head of the queue."""
+        while self._chunks and (self._chunks[0].withdrawn or self._chunks[0].is_fully_sent):
             size = len(self._chunks.popleft().data)
-            self.queued -= size
-            self.loop.queue(-size)
+            self.queued_bytes -= size
+            self.loop.add_queued_bytes(-size)
 
     def _check_stall(self) -> None:
         if self._is_released or not self._awaits_writable:
@@ -310,42 +323,43 @@
         if self.loop.now - self._progress_at >= MAX_STALL_S:
             self.close()
         else:
-            self.loop.at(self._progress_at + MAX_STALL_S, self._check_stall)
+            self.loop.call_at(self._progress_at + MAX_STALL_S, self._check_stall)
 
-    def end(self, within_s: float = LINGER_S) -> None:
-        """Close the connection in order.
+    def close_gracefully(self, within_s: float = LINGER_S) -> None:
+        """Close the connection after the queued bytes have been sent.
 
-        Queued bytes are sent, this side is closed, and the peer's close is awaited, `within_s` seconds at
-        most. What arrives after the half-close is read and dropped: closing over unread bytes would reset the
-        connection and lose the last answers.
+        This returns immediately; a new task sends the queued bytes, half-closes the connection, and waits up
+        to `within_s` seconds for the peer to close. Bytes that arrive after the half-close are read and
+        discarded. Closing a socket with unread bytes would send a TCP reset, and the peer could lose the
+        last answers.
         """
         if self.closed:
             return
         self.closed = True
         self._wake_tasks()
         self.loop.spawn(self._linger, within_s)
-        self.on_end()
+        self.on_graceful_close()
 
     def _linger(self, task: Task, within_s: float) -> None:
         self.flush()
         until = self.loop.now + MAX_STALL_S
-        while not self._is_released and self.queued:
+        while not self._is_released and self.queued_bytes:
             if isinstance(self._wait_for_queue(task, until, 0), Wait):
                 break
-        if not self._is_released and not self.queued:
+        if not self._is_released and not self.queued_bytes:
             with contextlib.suppress(OSError):
                 self.sock.shutdown(socket.SHUT_WR)
-            self._drain(task, self.loop.now + within_s)
+            self._discard_input(task, self.loop.now + within_s)
         self.close()
 
-    def _drain(self, task: Task, until: float) -> None:
-        """Read and drop what the peer still sends until it closes its side."""
-        left = MAX_DRAINED_BYTES
-        while left > 0:
+    def _discard_input(self, task: Task, until: float) -> None:
+        """Read and discard bytes until the peer closes, the deadline passes or the byte limit is reached."""
+        bytes_left = MAX_DISCARDED_BYTES
+        while bytes_left > 0:
             received = self._receive(task, until)
             if isinstance(received, Wait) or received == b"":
                 return
-            left -= len(received or b"")
+            bytes_left -= len(received or b"")
 
     def _wake_tasks(self) -> None:
         if self._reader is not None:
@@ -354,16 +368,16 @@
             self._queue_waiter.wake(True)
 
     def close(self) -> None:
-        """Close the connection at once; its reader gets b''."""
+        """Close the connection immediately, without sending the queued bytes. A pending read returns b''."""
         if self._is_released:
             return
         if self._poll_mask:
             self.loop.unwatch(self.sock.fileno())
         self.closed = True
         self._is_released = True
-        self.loop.writing.discard(self)
-        self.loop.queue(-self.queued)
-        self.queued = 0
+        self.loop.unflushed_streams.discard(self)
+        self.loop.add_queued_bytes(-self.queued_bytes)
+        self.queued_bytes = 0
         self.sock.close()
         self._wake_tasks()
         self.on_close()
--- a/lilacfront/server/graceful_shutdown.py
+++ b/lilacfront/server/graceful_shutdown.py
@@ -78,7 +78,7 @@
         server = self._server
         return bool(
             server.dispatcher.in_flight_count
-            or server.loop.writing
+            or server.loop.unflushed_streams
             or server.clients.have_connections
             or server.platform_frontend.transfers.is_pending
         )
--- a/lilacfront/server/peer_connection.py
+++ b/lilacfront/server/peer_connection.py
@@ -50,7 +50,7 @@
             if not is_shared:
                 raise StartError("peer_listen", f"{address[0]}:{address[1]}: {error.strerror}") from error
             log.warning("peer address in use", address=address, error=error)
-            self._loop.at(self._loop.now + RETRY_INTERVAL_S, lambda: self.open(address))
+            self._loop.call_at(self._loop.now + RETRY_INTERVAL_S, lambda: self.open(address))
             return
         if self._config.policy.limits.may_gossip:
             self._dispatcher.set_peer_transport(self.link)
--- a/lilacfront/server/server.py
+++ b/lilacfront/server/server.py
@@ -68,7 +68,7 @@
         """
         self.config = config
         self.loop = loop or Loop()
-        self.loop.queued_most = ProcessLimits.of(config).max_queued_bytes
+        self.loop.max_queued_bytes = ProcessLimits.of(config).max_queued_bytes
         self.upstream = build_upstream(config, self.loop)
         self.dispatcher = build_dispatcher(config, self.loop, self.upstream)
         self.endpoint_feed = EndpointFeed(config, self.dispatcher)
@@ -117,7 +117,7 @@
         limits = ProcessLimits.of(self.config, process_count)
         self.upstream.max_connections = limits.max_upstream_connections
         self.platform_frontend.set_memory(limits.memory_bytes)
-        self.loop.queued_most = limits.max_queued_bytes
+        self.loop.max_queued_bytes = limits.max_queued_bytes
         self.clients.set_max_connections(limits.max_client_connections)
 
     def set_drain(self, drain: Drain | None) -> None:
@@ -144,7 +144,7 @@
         signal.signal(signal.SIGINT, lambda *_: self.begin_shutdown())
         # In a task of its own, not within whatever the signal happens to interrupt.
         signal.signal(signal.SIGHUP, lambda *_: self.loop.spawn(lambda _: self.reload_config()))
-        signal.set_wakeup_fd(self.loop.wake_out.fileno(), warn_on_full_buffer=False)
+        signal.set_wakeup_fd(self.loop.wakeup_socket.fileno(), warn_on_full_buffer=False)
         log.debug(
             "settings",
             settings=self.config.policy,
--- a/lilacfront/simulator/__init__.py
+++ b/lilacfront/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's pipe: `batch_decoder` and `reply_encoder` know its bytes, `adapter` plays decisions."""
+"""Runs the decisions for a simulator over a pipe, which carries batches of events and replies."""
--- a/lilacfront/simulator/adapter.py
+++ b/lilacfront/simulator/adapter.py
@@ -1,4 +1,8 @@
-"""Hosts many gateways on the simulator's pipe: batches of events in, actions out."""
+"""Runs the routers of many simulated gateways in one process.
+
+Batches of events are read from standard input; the reply to each batch, a list of actions, is written to
+standard output.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 
 
 class SimulatorAdapter:
-    """The routers of all gateways in this process, by gateway number. They share no other state."""
+    """Passes the events of each gateway to its own router. The gateways share no decision state."""
 
     def __init__(self) -> None:
         self._reader = RecordReader()
@@ -38,12 +42,12 @@
         for record in self._reader.records(batch):
             try:
                 self._handle(batch.clock_us, record, actions)
-            except Exception as error:  # noqa: BLE001 - whatever fails is reported to the simulator
+            except Exception as error:  # noqa: BLE001 - every exception is reported to the simulator
                 actions.append(encode_exception(record.gateway, _describe(error)))
         return encode_reply(actions)
 
     def _handle(self, clock_us: int, record: Record, actions: list[bytes]) -> None:
-        """Handle one record and add the encoded actions that it leads to."""
+        """Handle one record and append the resulting actions, encoded, to `actions`."""
         match record:
             case GatewayEvent(gateway, event):
                 if (router := self._routers.get(gateway)) is not None:
@@ -59,13 +63,13 @@
 
 
 def _describe(error: Exception) -> str:
-    """The error and where it was raised."""
+    """Describe the error with the function and line that raised it."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
     return f"{type(error).__name__}: {error} ({frame.name}, line {frame.lineno})"
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Read batches and write replies until the input ends.
 
     Raises:
         FrameError: The input is malformed.
@@ -77,7 +81,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; return the exit status."""
+    """Serve the simulator on standard input and output; return the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except FrameError as error:
--- a/lilacfront/simulator/batch_decoder.py
+++ b/lilacfront/simulator/batch_decoder.py
@@ -1,7 +1,8 @@
 """Decoder of the simulator's binary batches; this module alone knows their layout and codes.
 
-A batch is a header, then records, each with a code and a fixed layout, some followed by data of a length that
-they state. Input that is cut short or not understood raises `FrameError`.
+A batch consists of a header and records. A record consists of a code byte and fields of a fixed layout; in
+some kinds of records, variable-length data follows, whose length is one of the fields. Truncated or malformed
+input raises `FrameError`.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
     REQUEST_RECEIVED = 12
 
 
-HEADER = struct.Struct(">IIQ")  # records, length with the header, clock
+HEADER = struct.Struct(">IIQ")  # record count, length in bytes including the header, clock in us
 ENDPOINT = struct.Struct(">Q6sHBBBf")
 ENDPOINTS_HEAD = struct.Struct(">HI")
 ENDPOINT_LIST = struct.Struct(">IBQH")
@@ -85,7 +86,7 @@
 WAITING_FOR_LOAD_VALUE = 2
 HAS_ESTIMATE_FLAG = 1
 IS_CLIENT_RETRY_FLAG = 2
-COST_RADIX = 4096  # a cost is the work in milliseconds times this, and the memory in units of 4 MB
+COST_RADIX = 4096  # cost = work in ms * COST_RADIX + memory in units of COST_MEMORY_UNIT_MB
 COST_MEMORY_UNIT_MB = 4
 US_PER_MS = 1000
 CPU_FIELD = "cpu"
@@ -96,12 +97,12 @@
 
 
 class FrameError(LilacfrontError, ValueError):
-    """A frame that is cut short or malformed."""
+    """The input is truncated or malformed."""
 
 
 @dataclass(slots=True, frozen=True)
 class GatewayStarted:
-    """A gateway starts with these settings."""
+    """A gateway was started with these settings."""
 
     gateway: int
     seed: int
@@ -128,7 +129,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Batch:
-    """One batch as read: its record count, its clock in microseconds, and its records' bytes."""
+    """A batch whose header has been decoded: record count, clock in microseconds, and undecoded records."""
 
     record_count: int
     clock_us: int
@@ -148,7 +149,7 @@
         raise FrameError("input ended inside a batch header")
     count, size, clock_us = HEADER.unpack(head)
     if size < HEADER.size:
-        raise FrameError(f"batch header gives a length of {size}")
+        raise FrameError(f"batch header states a length of {size} bytes, less than the header itself")
     body = stream.read(size - HEADER.size)
     if len(body) < size - HEADER.size:
         raise FrameError("input ended inside a batch")
@@ -156,7 +157,7 @@
 
 
 class _Cursor:
-    """A position in a batch's body."""
+    """A read position in the body of a batch."""
 
     __slots__ = ("body", "position")
 
@@ -165,28 +166,28 @@
         self.position = 0
 
     def byte(self) -> int:
-        """The next byte."""
+        """Read one byte."""
         value = self.body[self.position]
         self.position += 1
         return value
 
     def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """The values of the next fields."""
+        """Read fields of a fixed layout."""
         values = layout.unpack_from(self.body, self.position)
         self.position += layout.size
         return values
 
     def floats(self, count: int) -> tuple[float, ...]:
-        """The next `count` numbers."""
+        """Read `count` 32-bit floats."""
         values = struct.unpack_from(f">{count}f", self.body, self.position)
         self.position += FLOAT_BYTES * count
         return values
 
     def data(self, size: int) -> bytes:
-        """The next `size` bytes."""
+        """Read `size` bytes."""
         data = self.body[self.position : self.position + size]
         if len(data) < size:
-            raise IndexError("data runs past the end of the batch")
+            raise IndexError("record data extends beyond the end of the batch")
         self.position += size
         return data
 
@@ -195,8 +196,9 @@
     """Decodes the records of batches.
 
     Attributes:
-        endpoint_lists: The numbered lists that records refer to; a number may be used again.
-        report_fields: By gateway: the names of the values in its load reports.
+        endpoint_lists: Endpoint lists by the number that records refer to them by. A later list with the same
+            number replaces an earlier one.
+        report_fields: The names of the values in the load reports of a gateway, in order, by gateway number.
     """
 
     def __init__(self) -> None:
@@ -218,10 +220,12 @@
         }
 
     def records(self, batch: Batch) -> Iterator[Record]:
-        """The batch's records, in order. Records that only concern the reader are not among them.
+        """Decode the records of a batch, in order.
+
+        Records that only change the state of the reader, and notifications of unknown kinds, are not yielded.
 
         Raises:
-            FrameError: A record is malformed, or the count and the length don't match.
+            FrameError: A record is malformed, or the records are shorter or longer than the batch.
         """
         cursor = _Cursor(batch.body)
         start = 0
@@ -232,16 +236,16 @@
                 if record is not None:
                     yield record
         except (struct.error, IndexError, KeyError) as error:
-            raise FrameError(f"malformed record near byte {start} of the batch: {error!r}") from error
+            raise FrameError(f"malformed record at byte {start} of the batch body: {error!r}") from error
         if cursor.position != len(batch.body):
-            left = len(batch.body) - cursor.position
-            raise FrameError(f"{left} bytes left over after {batch.record_count} records")
+            unread_bytes = len(batch.body) - cursor.position
+            raise FrameError(f"{unread_bytes} bytes left over after {batch.record_count} records")
 
     def _decode(self, cursor: _Cursor) -> Record | None:
         code = cursor.byte()
         decoder = self._decoders.get(code)
         if decoder is None:
-            raise FrameError(f"record code {code} is not known")
+            raise FrameError(f"unknown record code {code}")
         return decoder(cursor)
 
     def _decode_load_report(self, gateway: int, cursor: _Cursor) -> LoadReport | None:
@@ -249,8 +253,12 @@
         values = cursor.floats(count)
         if count == 0:
             return None
-        named = dict(zip(self.report_fields.get(gateway, ()), values, strict=False))
-        return LoadReport(named.get(CPU_FIELD), named.get(IN_FLIGHT_FIELD), named.get(QUEUED_FIELD))
+        values_by_name = dict(zip(self.report_fields.get(gateway, ()), values, strict=False))
+        return LoadReport(
+            values_by_name.get(CPU_FIELD),
+            values_by_name.get(IN_FLIGHT_FIELD),
+            values_by_name.get(QUEUED_FIELD),
+        )
 
     def _decode_attempt_ended(self, cursor: _Cursor) -> Record:
         gateway, request, attempt, engine, code, duration_us, is_final, cost = cursor.unpack(ATTEMPT_ENDED)
@@ -277,7 +285,7 @@
         return GatewayEvent(gateway, result)
 
     def _decode_endpoints(self, cursor: _Cursor) -> None:
-        """Keep a numbered list; later records refer to it."""
+        """Store a numbered endpoint list, which later records refer to."""
         number, count = cursor.unpack(ENDPOINTS_HEAD)
         data = cursor.data(count * ENDPOINT.size)
         self.endpoint_lists[number] = tuple(
@@ -324,7 +332,7 @@
 
 
 def _decode_notification(cursor: _Cursor) -> Record | None:
-    """A notification; None for a kind that is not known."""
+    """Decode a notification; returns None for an unknown kind."""
     gateway, request, attempt, engine, code, value = cursor.unpack(NOTIFICATION)
     kind = NOTIFICATION_CODES.get(code)
     if kind is None:
--- a/lilacfront/simulator/reply_encoder.py
+++ b/lilacfront/simulator/reply_encoder.py
@@ -1,6 +1,7 @@
 """Encoder of the replies to the simulator; this module alone knows their layout and codes.
 
-A reply is its length, then actions, each with a code, the gateway's number and a fixed layout.
+A reply consists of its length and the encoded actions. An action consists of a code byte, the number of the
+gateway and fields of a fixed layout; in some kinds of actions, variable-length data follows.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
     WatchEndpoints,
 )
 
-REPLY_HEADER = struct.Struct(">I")  # length with the header
+REPLY_HEADER = struct.Struct(">I")  # length in bytes, including this header
 TEXT_LENGTH = struct.Struct(">H")
 MAX_TEXT_BYTES = 65535
-ALL_PEERS = 0xFFFF
+ALL_PEERS = 0xFFFF  # the peer number of a broadcast
 ENGINE_BYTES = 6
 
 
@@ -68,7 +69,7 @@
             return struct.pack(">BI", ActionCode.POLL_ENDPOINTS, gateway)
         case LogMessage(text):
             return struct.pack(">BI", ActionCode.LOG_MESSAGE, gateway) + _encode_text(text)
-    raise TypeError(f"not an action: {action!r}")
+    raise TypeError(f"unknown kind of action: {action!r}")
 
 
 def _encode_request_action(
@@ -91,7 +92,7 @@
 
 
 def encode_exception(gateway: int, text: str) -> bytes:
-    """Encode that a gateway raised an exception; the simulator stops with this text."""
+    """Encode the report that a gateway raised an exception. The simulator stops and shows this text."""
     return struct.pack(">BI", ActionCode.EXCEPTION, gateway) + _encode_text(text)
 
 
--- a/lilacfront/upstream/clickhouse.py
+++ b/lilacfront/upstream/clickhouse.py
@@ -16,7 +16,7 @@
     ResponseSink,
 )
 from lilacfront.protocols import http1
-from lilacfront.sched import Loop, Stream, Task, Unconnected
+from lilacfront.sched import ConnectFailure, Loop, Stream, Task
 from lilacfront.upstream.clickhouse_attempt import ClickHouseAttempt
 
 # Of the time after which an engine closes idle connections; closing first avoids the race.
@@ -98,7 +98,7 @@
             return connected
         if task.interrupted:
             return AttemptEnding.CANCELLED
-        if connected is Unconnected.NO_DESCRIPTOR or connect_deadline >= chosen.deadline:
+        if connected is ConnectFailure.NO_DESCRIPTOR or connect_deadline >= chosen.deadline:
             return AttemptEnding.NOT_SENT
         return AttemptEnding.CONNECT_FAILED
 
@@ -109,7 +109,7 @@
         while connections:
             stream = connections.pop().stream
             # On one that the engine has closed by now a write would look as if it may have run.
-            if stream.quiet():
+            if stream.is_idle():
                 return stream
             stream.close()
         return None
--- a/lilacfront/upstream/clickhouse_attempt.py
+++ b/lilacfront/upstream/clickhouse_attempt.py
@@ -60,7 +60,7 @@
         """Whether another request may be sent on the connection."""
         if self.head is None or not self.head.keep_alive or self._stream.closed:
             return False
-        return self._is_complete and self._last_chunk.whole and self._parser.is_between_messages
+        return self._is_complete and self._last_chunk.is_fully_sent and self._parser.is_between_messages
 
     def run(self, task: Task, deadline: float, stall_timeout_s: float, sink: ResponseSink) -> AttemptOutcome:
         """Take the response until an outcome is known."""
@@ -142,7 +142,7 @@
             return DeliveryStage.RESPONDING
         if self._first_chunk.withdraw():
             return DeliveryStage.CONNECTED
-        return DeliveryStage.WRITTEN if self._last_chunk.whole else DeliveryStage.PARTLY_WRITTEN
+        return DeliveryStage.WRITTEN if self._last_chunk.is_fully_sent else DeliveryStage.PARTLY_WRITTEN
 
 
 def _request_head(request: Request, engine: EngineAddress) -> bytes:
--- a/lilacfront/upstream/resp.py
+++ b/lilacfront/upstream/resp.py
@@ -13,7 +13,7 @@
     ResponseSink,
 )
 from lilacfront.protocols import resp
-from lilacfront.sched import Interrupted, Loop, Task, Unconnected
+from lilacfront.sched import ConnectFailure, Interrupted, Loop, Task
 from lilacfront.upstream.resp_attempt import RespAttempt
 from lilacfront.upstream.resp_connection import RespConnection
 
@@ -91,7 +91,7 @@
         if not connection.is_closed:
             return None
         # That this process has no descriptor left says nothing against the engine.
-        is_own_fault = connection.connect_failure is Unconnected.NO_DESCRIPTOR
+        is_own_fault = connection.connect_failure is ConnectFailure.NO_DESCRIPTOR
         return AttemptEnding.NOT_SENT if is_own_fault else AttemptEnding.CONNECT_FAILED
 
     def _encode_command(self, request: Request, priority: int | None, time_left_ms: int) -> bytes:
--- a/lilacfront/upstream/resp_attempt.py
+++ b/lilacfront/upstream/resp_attempt.py
@@ -86,7 +86,7 @@
         command = self._attempt.command
         if command.withdraw():
             return DeliveryStage.CONNECTED
-        return DeliveryStage.WRITTEN if command.whole else DeliveryStage.PARTLY_WRITTEN
+        return DeliveryStage.WRITTEN if command.is_fully_sent else DeliveryStage.PARTLY_WRITTEN
 
     def _outcome_without_reply(self, reason: Wait | ConnectionEvent) -> AttemptOutcome:
         stage = self._delivery_stage()
--- a/lilacfront/upstream/resp_connection.py
+++ b/lilacfront/upstream/resp_connection.py
@@ -9,8 +9,8 @@
 from lilacfront.core.model import AttemptContext, EngineAddress
 from lilacfront.logs import Log
 from lilacfront.protocols import resp
-from lilacfront.sched import Chunk, Loop, Stream, Task, Unconnected, Wait
-from lilacfront.sched.channel import Channel, Gate
+from lilacfront.sched import Chunk, ConnectFailure, Loop, Stream, Task, Wait
+from lilacfront.sched.channel import Channel, OneTimeEvent
 from lilacfront.upstream.resp_messages import (
     MAX_PAGE_BYTES,
     WORDS_PER_ANSWER,
@@ -74,9 +74,9 @@
     ) -> None:
         self.loop = loop
         self.engine = engine
-        self.ready = Gate(loop)
+        self.ready = OneTimeEvent(loop)
         self.stream: Stream | None = None
-        self.connect_failure: Unconnected | None = None
+        self.connect_failure: ConnectFailure | None = None
         self.is_closed = False
         self.open_attempts: dict[bytes, OpenAttempt] = {}
         self.cancelled_calls: dict[bytes, float] = {}
@@ -100,7 +100,7 @@
 
         Half a line that an engine left behind would corrupt the answer of the next attempt.
         """
-        return self.stream is None or (not self._parser.is_inside_array and self.stream.quiet())
+        return self.stream is None or (not self._parser.is_inside_array and self.stream.is_idle())
 
     def begin(self, call_id: bytes, command: bytes, context: AttemptContext) -> OpenAttempt:
         """Send the command of an attempt, if it still may begin when the first byte would leave."""
@@ -134,7 +134,7 @@
         self.cancelled_calls[call_id] = now
         chunk = self.stream.write(resp.encode(final_command, call_id))
         self.stream.flush()
-        if not chunk.whole:
+        if not chunk.is_fully_sent:
             # The engine no longer reads and can't learn of the cancellation; closing the connection tells it.
             self.close()
 
--- a/tests/crossings/test_client_disconnects.py
+++ b/tests/crossings/test_client_disconnects.py
@@ -181,10 +181,10 @@
         (pool,) = stage.server.upstream._pools.values()  # type: ignore[attr-defined]
         stream = pool[0].stream
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        stream.most_queued = 64 << 20
+        stream.max_queued_bytes = 64 << 20
         stream.write(bytes(FILLING_BYTES))
         stage.turn()
-        assert stream.queued
+        assert stream.queued_bytes
         for client, tag in zip(clients, "bcd", strict=True):
             stage.step(client, "ask", f"{tag} lookup 4000 select y from sales_17.orders")
         stage.turn()
@@ -194,7 +194,7 @@
         for client in clients:
             stage.actors[client].close_connection()
         stage.turn()
-        received = read_filled_connection(stage, connection, lambda: not stream.queued)
+        received = read_filled_connection(stage, connection, lambda: not stream.queued_bytes)
         assert received.count(b"select y") == 0
         assert not any(chunk.sent for chunk in waiting)
         connection.close()
--- a/tests/crossings/test_descriptor_exhaustion.py
+++ b/tests/crossings/test_descriptor_exhaustion.py
@@ -21,7 +21,7 @@
 from play import TICK_S, Actor, Dialect, Stage, ThriftResp
 
 from lilacfront.frontends.listener import ACCEPT_RETRY_S
-from lilacfront.sched import Unconnected
+from lilacfront.sched import ConnectFailure
 
 EXHAUSTION_S = 5.0
 NEW_CLIENTS = ("D1", "D2", "D3")
@@ -103,7 +103,7 @@
 ) -> None:
     with running_stage(path) as stage:
         monkeypatch.setattr(
-            "lilacfront.sched.stream.Stream.connect", classmethod(lambda *_: Unconnected.NO_DESCRIPTOR)
+            "lilacfront.sched.stream.Stream.connect", classmethod(lambda *_: ConnectFailure.NO_DESCRIPTOR)
         )
         send_requests(stage)
         stage.turn()
--- a/tests/crossings/test_graceful_shutdown.py
+++ b/tests/crossings/test_graceful_shutdown.py
@@ -160,7 +160,7 @@
         for name in WAREHOUSES:
             serve_in_pages(stage.actors[name], answer)
         stage.wait(0.1)
-        assert all(slot.stream.queued for slot in slots), "the answers are to be stuck"
+        assert all(slot.stream.queued_bytes for slot in slots), "the answers are to be stuck"
         stage.wait(1.0)
         resume_reading(clients, unread)
         for _ in range(200):
--- a/tests/operations/test_service.py
+++ b/tests/operations/test_service.py
@@ -129,7 +129,7 @@
             return (
                 listener.max_connections,
                 server.upstream.max_connections,
-                server.loop.queued_most,
+                server.loop.max_queued_bytes,
                 server.platform_frontend.partial_messages.max_bytes,
             )
 
--- a/tests/sched/test_loop.py
+++ b/tests/sched/test_loop.py
@@ -18,7 +18,7 @@
         seen.append(channel.get(task, loop.now + 1))
         seen.append(channel.get(task, loop.now + 1))
         seen.append(channel.get(task, loop.now + 1))
-        task.settle()
+        task.clear_interruption()
         seen.append(channel.get(task, loop.now))
 
     task = loop.spawn(run)
@@ -42,7 +42,7 @@
         raise ZeroDivisionError
 
     loop.spawn(fail)
-    loop.at(loop.now, fail_as_timer)
+    loop.call_at(loop.now, fail_as_timer)
     loop.spawn(lambda _: done.append(1))
     manual_loop.run_for(0.2)
     assert done == [1]
@@ -66,5 +66,5 @@
         channel.put(n)
     loop.turn(0)
     assert len(received) == 2000
-    assert not loop._due
+    assert not loop._timer_targets
     assert len(loop._timers) < 600
--- a/tests/sched/test_stream.py
+++ b/tests/sched/test_stream.py
@@ -16,10 +16,10 @@
     stream.write(b"x" * (32 << 20))
     manual_loop.run_for(4.5)
     assert not stream.closed
-    assert loop.writing == {stream}
+    assert loop.unflushed_streams == {stream}
     manual_loop.run_for(1)
     assert stream.closed
-    assert not loop.writing
+    assert not loop.unflushed_streams
     peer.close()
 
 
@@ -36,7 +36,7 @@
     second = stream.write(b"second")
     assert first.withdraw()
     manual_loop.run_for(0.1)
-    assert second.whole
+    assert second.is_fully_sent
     assert not second.withdraw()
     assert peer.recv(100) == b"second"
     stream.close()
@@ -48,27 +48,27 @@
     manual_loop: ManualLoop, is_reset: bool
 ) -> None:
     stream, peer = manual_loop.connected_stream(1000)
-    assert stream.alive()
+    assert stream.is_open_by_peek()
     if is_reset:
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     peer.close()
-    assert not stream.alive()
+    assert not stream.is_open_by_peek()
     stream.close()
 
 
 def test_peers_that_do_not_read_together_hold_no_more_than_the_shared_bound(manual_loop: ManualLoop) -> None:
     loop = manual_loop.loop
     ends = [manual_loop.connected_stream(8 << 20) for _ in range(3)]
-    loop.queued_most = 6 << 20
+    loop.max_queued_bytes = 6 << 20
     for n, (stream, _) in enumerate(ends):
         stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # whatever the system's default is
         stream.write(bytes((4 << 20) - (n << 10)))
         loop.turn(0)
     still_open = [stream for stream, _ in ends if not stream.closed]
     assert len(still_open) == 1
-    assert loop.queued == still_open[0].queued <= loop.queued_most
+    assert loop.queued_bytes == still_open[0].queued_bytes <= loop.max_queued_bytes
     still_open[0].close()
-    assert loop.queued == 0
+    assert loop.queued_bytes == 0
 
 
 def test_connection_that_closes_does_not_read_on_for_ever(manual_loop: ManualLoop) -> None:
@@ -76,7 +76,7 @@
     peer.setblocking(False)
     closed: list[bool] = []
     stream.on_close = lambda: closed.append(True)
-    stream.end(1)
+    stream.close_gracefully(1)
     sent = 0
     while not closed:
         with contextlib.suppress(BlockingIOError):
--- a/tests/upstream/test_connections.py
+++ b/tests/upstream/test_connections.py
@@ -109,4 +109,4 @@
         assert not upstream._pools
         assert upstream._connection_count == 0
         listener.accept()[0].close()
-        assert [fd for fd in loop._watched if fd != loop._wake_in.fileno()] == []
+        assert [fd for fd in loop._watched if fd != loop._wakeup_receiver.fileno()] == []
