--- a/tests/core/test_endpoints.py
+++ b/tests/core/test_endpoints.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 import msgspec
-from play import Stage, ThriftResp
+from play import Harness, ThriftResp
 
 from lilacfront.discovery.endpoint_list import EndpointUpdate
 
 
 def test_no_state_is_left_of_engines_that_are_gone() -> None:
-    stage = Stage(ThriftResp(), engines=0)
+    stage = Harness(ThriftResp(), engines=0)
     try:
         for n in range(100):
             for state in ("ready", "gone"):
--- a/tests/frontends/test_exchanges.py
+++ b/tests/frontends/test_exchanges.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 import pytest
-from play import EXCHANGES_DIRECTORY, SETTINGS, Dialect, Etcd, Http, Stage, ThriftResp
+from play import EXCHANGES_DIRECTORY, SETTINGS, Dialect, Etcd, Harness, Http, ThriftResp
 
 PATHS = pytest.mark.parametrize(
     "path", [pytest.param(ThriftResp, id="thrift-resp"), pytest.param(Http, id="http")]
@@ -59,8 +59,8 @@
     descriptors = FEW_DESCRIPTORS if "16 descriptors" in lines[0] else DEFAULT_DESCRIPTORS
     engines = 0 if "no warehouses" in lines[0] else 2
     teams = "\n".join(line.removeprefix(TEAMS_PREFIX) for line in lines if line.startswith(TEAMS_PREFIX))
-    stage = Stage(dialect, split, engines, teams, settings=settings, limits={"sockets": descriptors})
+    stage = Harness(dialect, split, engines, teams, settings=settings, limits={"sockets": descriptors})
     try:
-        stage.play_exchange(text)
+        stage.replay_exchange(text)
     finally:
         stage.close()
--- a/tests/frontends/test_platform.py
+++ b/tests/frontends/test_platform.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from play import Stage, ThriftResp
+from play import Harness, ThriftResp
 
 LARGE_FRAME_HEAD = b"\0\1\xff\xff"
 
 
 def test_incomplete_messages_hold_no_more_than_their_part_of_the_memory() -> None:
-    stage = Stage(ThriftResp(), limits={"memory_mb": 2})
+    stage = Harness(ThriftResp(), limits={"memory_mb": 2})
     try:
         for name, size in (("C1", 70_000), ("C2", 50_000), ("C3", 40_000)):
             stage.step(name, "!nothing", "")
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: tests that fail because of a known fault and don't fail the run; read by conftest.py."""
+"""Reads KNOWN-RED.txt, the list of expected failures, which don't fail the test run; used by conftest.py."""
 
 from __future__ import annotations
 
@@ -11,7 +11,13 @@
 
 @dataclass(slots=True, frozen=True)
 class KnownRedTest:
-    """A listed test: its node id, the cause of its failure, and the open issue."""
+    """A test that is expected to fail.
+
+    Attributes:
+        test: The node id.
+        cause: The cause of the failure.
+        issue: The open issue.
+    """
 
     test: str
     cause: str
@@ -19,14 +25,16 @@
 
 
 class KnownRedError(Exception):
-    """The list is invalid: the run fails."""
+    """The list is invalid, which fails the test run."""
 
 
 def read_list(path: Path) -> list[KnownRedTest]:
-    """Read the list, one `test, cause, issue` a line; without a file no test is listed.
+    """Read the list, which has one line `test, cause, issue` for each test.
+
+    A missing file is an empty list.
 
     Raises:
-        KnownRedError: a line is incomplete, too many tests are listed, or none.
+        KnownRedError: A line is incomplete, too many tests are listed, or the file lists no test.
     """
     if not path.exists():
         return []
@@ -36,9 +44,11 @@
         if line.strip()
     ]
     if len(listed) > MAX_LISTED_TESTS:
-        raise KnownRedError(f"{path.name}: {len(listed)} tests are listed, at most {MAX_LISTED_TESTS} may be")
+        raise KnownRedError(
+            f"{path.name}: {len(listed)} tests are listed, at most {MAX_LISTED_TESTS} are allowed"
+        )
     if not listed:
-        raise KnownRedError(f"{path.name} lists nothing: it is to be absent then")
+        raise KnownRedError(f"{path.name} lists nothing; remove the file")
     return listed
 
 
@@ -47,7 +57,7 @@
     cause, _, issue = rest.rpartition(", ")
     parts = [test.strip(), cause.strip(), issue.strip()]
     if not all(parts):
-        raise KnownRedError(f"{file_name}, line {number}: not a test, a cause and an issue: {line!r}")
+        raise KnownRedError(f"{file_name}, line {number}: expected `test, cause, issue`, got {line!r}")
     return KnownRedTest(*parts)
 
 
--- a/tests/operations/test_service.py
+++ b/tests/operations/test_service.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from play import Stage as ServerRig
+from play import Harness as ServerRig
 from play import ThriftResp
 
 from lilacfront.decisions.events import EndpointList
--- a/tests/play/__init__.py
+++ b/tests/play/__init__.py
@@ -1,23 +1,37 @@
-"""Plays recorded exchanges from text files against the program, on its own sockets and its own clock.
+"""Replays exchanges from text files against a front end, over real sockets and with a clock of the test.
 
-A step is a line `ACTOR VERB REST`; lines that begin with `|` add a line that CR LF ends, those with `.` one
-as it is. Actors: C1, C2 … clients; W1, W2 warehouses; L the change log; E etcd. Verbs on bytes: `>` the
-actor sends, `<` it must get exactly these next. `$W1` stands for a warehouse's address. Other verbs:
-`!close`, `!reset`, `!eof` (the program ends the connection), `!nothing` (nothing more has come), `!refuse`,
-`!full` (connections no longer come up), `!second` (the current connection is its second).
-Without an actor: `wait MS` moves the clock, `term` is SIGTERM, `hup A` is SIGHUP with the change log now at
-actor A (`hup` alone: with a file that can't be used), `teams TOML` is SIGHUP with these teams, `ends` means
-the program has ended by itself.
-The rest of the verbs are a dialect's words, as in `C1 ask a lookup 4000 select 1`, and stand for its bytes.
+A step is a line `ACTOR VERB REST`. A following line that begins with `|` is appended to the step and ended by
+CR LF; one that begins with `.` is appended as it is. The actors are clients (C1, C2 …), warehouses (W1, W2),
+change logs (L, M) and etcd (E). `$W1` stands for the address of a warehouse. The verbs of an actor are:
+
+- `>`: the actor sends the bytes of the rest.
+- `<`: the next bytes that the actor receives must be exactly those of the rest.
+- `!close`, `!reset`: the actor closes its connection, or resets it.
+- `!eof`: the front end must end the connection without sending more.
+- `!nothing`: the actor must not have received anything more.
+- `!refuse`: the actor refuses connections from now on.
+- `!full`: the actor's accept queue is full from now on, so that connects don't complete.
+- `!second`: the actor's current connection must be its second.
+- Every other verb is a method of the dialect and stands for the bytes that the method returns, as in
+  `C1 ask a lookup 4000 select 1`.
+
+Steps without an actor are:
+
+- `wait MS`: the clock advances.
+- `term`: the front end receives SIGTERM.
+- `hup ACTOR`: the front end receives SIGHUP; the configuration names the actor as the change log. Without an
+  actor the configuration is invalid.
+- `teams TOML`: the front end receives SIGHUP; the teams' file has this text.
+- `ends`: the front end must end by itself.
 """
 
 from play.actors import Actor, reset_on_close
 from play.clock import Clock, ControlledPoll
 from play.dialect import Dialect, encode_rows
 from play.etcd import Etcd
+from play.harness import TICK_S, Harness
 from play.http import Http
 from play.settings import EXCHANGES_DIRECTORY, GATEWAY, SETTINGS
-from play.stage import TICK_S, Stage
 from play.thrift_resp import ThriftResp, encode_resp
 
 __all__ = [
@@ -30,8 +44,8 @@
     "ControlledPoll",
     "Dialect",
     "Etcd",
+    "Harness",
     "Http",
-    "Stage",
     "ThriftResp",
     "encode_resp",
     "encode_rows",
--- a/tests/play/actors.py
+++ b/tests/play/actors.py
@@ -1,4 +1,4 @@
-"""The stand-ins for clients, warehouses and endpoint list services."""
+"""Fake clients, warehouses and endpoint list services."""
 
 from __future__ import annotations
 
@@ -16,10 +16,17 @@
 
 
 class Actor:
-    """A stand-in: a client, or a server with the connections that it has accepted.
-
-    The latest connection is the current one. An actor reads the current connection only, or with
-    `reads_all_connections` all of them into one buffer. With `answer` it answers all bytes at once.
+    """A fake client, or a fake server with the connections that it has accepted.
+
+    Attributes:
+        listener: The listening socket; None for a client.
+        connection: The current connection, which is the latest one.
+        other_sockets: Earlier connections, and other sockets to close at the end.
+        received: The bytes that the actor has received and the test has not consumed.
+        eof: Whether the front end has ended the current connection.
+        was_reset: Whether a connection was reset by the front end.
+        reads_all_connections: Whether the actor also reads from earlier connections, into the same buffer.
+        answer: Returns the immediate answer to received bytes; None if the actor answers nothing by itself.
     """
 
     def __init__(self, listens: bool) -> None:
@@ -37,7 +44,7 @@
             self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
 
     def receive(self) -> None:
-        """Accept a connection if one is pending, then read what has arrived."""
+        """Accept a pending connection, then read the bytes that have arrived."""
         self._accept()
         if self.reads_all_connections:
             self._receive_from_others()
@@ -82,7 +89,7 @@
         self.eof = False
 
     def close_connection(self, with_reset: bool = False) -> None:
-        """Close the current connection, in order or by a TCP reset."""
+        """Close the current connection normally, or by a TCP reset."""
         assert self.connection is not None
         if with_reset:
             reset_on_close(self.connection)
@@ -96,7 +103,7 @@
         self.listener = None
 
     def fill_backlog(self) -> None:
-        """Let no further connection be established: the backlog has one place, and it is used up."""
+        """Keep further connects from completing, by a backlog of one connection that is filled."""
         assert self.listener is not None
         self.listener.listen(0)
         address = self.listener.getsockname()
@@ -110,6 +117,6 @@
 
     def close(self) -> None:
         """Close all sockets."""
-        for each in (self.connection, self.listener, *self.other_sockets):
-            if each is not None:
-                each.close()
+        for sock in (self.connection, self.listener, *self.other_sockets):
+            if sock is not None:
+                sock.close()
--- a/tests/play/dialect.py
+++ b/tests/play/dialect.py
@@ -1,4 +1,4 @@
-"""The words that all paths share, and what a word of an exchange stands for."""
+"""The base class of the dialects, which translate the verbs of exchanges into bytes."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionEnd:
-    """The program ends the actor's connection and has sent nothing more."""
+    """The front end must end the actor's connection without sending more bytes."""
 
 
 class Endpoints(Protocol):
-    """What a dialect needs to know of the actors."""
+    """The interface through which a dialect queries the actors' addresses."""
 
     def entry(self, name: str, state: str = "ready") -> dict[str, Any]:
         """The entry of a warehouse in the endpoint list."""
@@ -51,7 +51,10 @@
 
 
 class Dialect(ABC):
-    """The words of the exchanges as the bytes of one path; each word is a method of its name."""
+    """Translates the verbs of exchanges into the bytes of one protocol path.
+
+    Each verb is implemented by the method with its name.
+    """
 
     gateway_toml = ""
     listener_index = 0
@@ -60,8 +63,8 @@
     endpoints: Endpoints
 
     def translate(self, actor: str, verb: str, *args: str) -> list[Transfer | ConnectionEnd]:
-        """What a word of the actor stands for, in order."""
-        del actor  # the words of HTTP depend on it
+        """The transfers that a verb of the actor stands for, in order."""
+        del actor  # only the verbs of HTTP depend on it
         if verb == "unwell":
             return [Transfer(self.ping_request, True), Transfer(self.unhealthy_answer, False)]
         return [Transfer(getattr(self, verb)(*args), verb in SENDING_VERBS)]
@@ -72,7 +75,7 @@
         return json.dumps(event).encode() + b"\n"
 
     def since(self, seq: str) -> bytes:
-        """The program's request to watch the endpoint list."""
+        """The front end's request to watch the endpoint list."""
         return f"since {seq}\n".encode()
 
     @abstractmethod
@@ -89,5 +92,5 @@
 
 
 def encode_rows(rows: tuple[str, ...]) -> bytes:
-    """The rows as tab-separated lines; a comma of a row separates its columns."""
+    """Encode rows, whose columns are separated by commas, as tab-separated lines."""
     return b"".join(row.replace(",", "\t").encode() + b"\n" for row in rows)
--- a/tests/play/etcd.py
+++ b/tests/play/etcd.py
@@ -1,4 +1,4 @@
-"""The words of etcd's JSON gateway, which holds the endpoint list."""
+"""The dialect with the endpoint list from etcd's JSON gateway."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Etcd(ThriftResp):
-    """The words of the platform's path with the endpoint list from etcd."""
+    """Translates verbs for the Thrift and RESP path with the endpoint list from etcd."""
 
     gateway_toml = '[etcd]\nendpoints = ["$E"]'
 
@@ -34,7 +34,7 @@
         return b"%x\r\n%s\r\n" % (len(text), text)
 
     def ranges(self, *_: str) -> bytes:
-        """The program's request for the whole list."""
+        """The front end's request for the whole list."""
         return self._post_request(b"/v3/kv/range", RANGE_JSON)
 
     def lists(self, revision: str, *names: str) -> bytes:
@@ -44,24 +44,24 @@
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(text), text)
 
     def watches(self, revision: str) -> bytes:
-        """The program's request to watch the list."""
+        """The front end's request to watch the list."""
         return self._post_request(b"/v3/watch", WATCH_JSON % revision.encode())
 
     def created(self, revision: str) -> bytes:
-        """The begin of the watch."""
+        """The response that starts the watch."""
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         return head + self._chunk({"header": {"revision": revision}, "created": True})
 
     def puts(self, revision: str, name: str) -> bytes:
-        """A watch event: a warehouse is in the list."""
+        """A watch event that adds a warehouse to the list."""
         events = [{"kv": self._key_value(name)}]
         return self._chunk({"header": {"revision": revision}, "events": events})
 
     def deletes(self, revision: str, name: str) -> bytes:
-        """A watch event: a warehouse has left the list."""
+        """A watch event that removes a warehouse from the list."""
         events = [{"type": "DELETE", "kv": {"key": self._key_value(name)["key"]}}]
         return self._chunk({"header": {"revision": revision}, "events": events})
 
     def cancels(self, revision: str) -> bytes:
-        """The end of the watch, whose revision has been compacted."""
+        """The cancellation of the watch, because its revision has been compacted."""
         return self._chunk({"header": {"revision": revision}, "canceled": True, "compact_revision": revision})
--- a/tests/play/stage.py
+++ b/tests/play/harness.py
@@ -1,4 +1,4 @@
-"""One front end under test, the actors round it, and the steps of an exchange."""
+"""The test harness: a front end, the actors that it communicates with, and the steps of an exchange."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from play.settings import INSTANCE_IDS, SETTINGS
 
 TICK_S = 0.01
-# Real time within which bytes on loopback surely arrive; only a failing test takes it.
+# Real time within which bytes arrive on loopback; only a failing test waits this long.
 MAX_REAL_WAIT_S = 20.0
 TURNS_PER_STEP = 3
 LISTENING_ACTORS = ("W1", "W2", "L", "M", "E")
 
 
 def unescape(text: str) -> bytes:
-    """The bytes that a text with backslash escapes stands for."""
+    """Decode a text with backslash escapes."""
     data = codecs.escape_decode(text.encode())[0]
     assert isinstance(data, bytes)
     return data
 
 
 def join_lines(text: str) -> str:
-    """The text of an exchange with its continuation lines (`|`, `.`) joined to their steps."""
+    """Join the continuation lines (`|`, `.`) of an exchange to their steps."""
     text = re.sub(r" ([<>])$", r" \1 ", text, flags=re.M)
     text = re.sub(
         r"\n\|(?: (.*)|)$",
@@ -44,8 +44,8 @@
     return re.sub(r"\n\. (.*)$", lambda match: match[1], text, flags=re.M)
 
 
-class Stage:
-    """One front end under test and the actors round it."""
+class Harness:
+    """A front end under test and the actors that it communicates with."""
 
     def __init__(
         self,
@@ -59,12 +59,12 @@
         """Start the front end.
 
         Args:
-            dialect: the words of the path.
-            split: send each byte by itself.
+            dialect: the translation of verbs into the bytes of the protocol path.
+            split: whether actors send each byte separately.
             engines: the number of warehouses in the endpoint list.
             teams: the text of the teams' file.
-            fresh: leave the endpoint list to be loaded; otherwise the front end is healthy at once.
-            changes: further members of the configuration.
+            fresh: whether the front end must load the endpoint list before it is healthy.
+            changes: further keys of the configuration.
         """
         self.teams = teams
         self.clock = Clock()
@@ -113,38 +113,38 @@
         return self.actors[name].address
 
     def turn(self) -> None:
-        """Let the front end and the actors do what they can without time passing."""
+        """Run turns of the front end and let the actors receive; the clock does not advance."""
         for _ in range(TURNS_PER_STEP):
             self.server.loop.turn(0)
             for actor in self.actors.values():
                 actor.receive()
 
     def wait(self, seconds: float) -> None:
-        """Move the clock on in ticks."""
+        """Advance the clock in ticks, with turns after each."""
         end = self.clock.now + seconds
         while self.clock.now < end:
             self.clock.now = min(end, self.clock.now + TICK_S)
             self.turn()
 
     def until(self, is_done: Callable[[], object], awaited: str) -> None:
-        """Take turns until a condition is true; the clock stands still."""
+        """Run turns until a condition is true; the clock does not advance."""
         limit = time.monotonic() + MAX_REAL_WAIT_S
         while not is_done():
-            assert time.monotonic() < limit, f"waited in vain for {awaited}"
+            assert time.monotonic() < limit, f"timed out waiting for {awaited}"
             self.turn()
 
-    def play_exchange(self, text: str) -> None:
-        """Play all steps of an exchange."""
+    def replay_exchange(self, text: str) -> None:
+        """Run all steps of an exchange."""
         for number, line in enumerate(join_lines(text).splitlines(), 1):
             if not line.strip() or line.startswith("#"):
                 continue
             try:
                 self.step(*[*line.split(" ", 2), "", ""][:3])
-            except AssertionError as problem:
-                raise AssertionError(f"step {number}: {line[:200]}\n{problem}") from None
+            except AssertionError as error:
+                raise AssertionError(f"step {number}: {line[:200]}\n{error}") from None
 
     def step(self, name: str, verb: str, rest: str) -> None:
-        """Play one step: of the front end's process, or of an actor."""
+        """Run one step of an exchange."""
         match name:
             case "wait":
                 self.wait(int(verb) / 1000)
@@ -156,7 +156,7 @@
                 self.teams = unescape(f"{verb} {rest}").decode()
                 self.server.reload_config()
             case "ends":
-                self.until(lambda: self.server.loop.stopping, "the end")
+                self.until(lambda: self.server.loop.stopping, "the loop to stop")
             case _:
                 self._actor_step(name, verb, rest)
 
@@ -196,7 +196,7 @@
             self.send(actor, data)
             return
         self.until(lambda: len(actor.received) >= len(data) or actor.eof, f"{data!r}, got {actor.received!r}")
-        assert actor.received[: len(data)] == data, f"wanted {data!r}\n   got {actor.received!r}"
+        assert actor.received[: len(data)] == data, f"expected {data!r}\n     got {actor.received!r}"
         actor.received = actor.received[len(data) :]
 
     def send(self, actor: Actor, data: bytes) -> None:
@@ -212,7 +212,7 @@
             self.turn()
 
     def apply_event(self, actor: Actor, verb: str) -> None:
-        """Let something happen to the actor's sockets, or check what has."""
+        """Change the state of the actor's sockets, or check it."""
         match verb:
             case "close" | "reset":
                 actor.close_connection(with_reset=verb == "reset")
@@ -222,16 +222,18 @@
             case "full":
                 actor.fill_backlog()
             case "second":
-                assert len(actor.other_sockets) == 1, "not a second connection"
+                assert len(actor.other_sockets) == 1, (
+                    f"expected one earlier connection, got {len(actor.other_sockets)}"
+                )
             case "eof":
                 self.until(lambda: actor.eof, "the end of the connection")
-                assert not actor.received, f"got {actor.received!r}"
+                assert not actor.received, f"unexpected bytes: {actor.received!r}"
             case "nothing":
                 self.turn()
-                assert not actor.received, f"got {actor.received!r}"
+                assert not actor.received, f"unexpected bytes: {actor.received!r}"
                 assert not actor.eof, "the connection has ended"
             case _:
-                raise AssertionError(f"no verb {verb}")
+                raise AssertionError(f"unknown verb !{verb}")
 
     def close(self) -> None:
         """Close the actors and the front end."""
--- a/tests/play/http.py
+++ b/tests/play/http.py
@@ -1,4 +1,4 @@
-"""The words of the gateway's path: the ClickHouse HTTP interface on both sides."""
+"""The dialect of the path with the ClickHouse HTTP interface towards clients and warehouses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Http(Dialect):
-    """The words of the gateway's path."""
+    """Translates verbs for the ClickHouse HTTP path."""
 
     gateway_toml = GATEWAY
     listener_index = 1
@@ -22,7 +22,7 @@
         self.requests: dict[str, bytes] = {}
 
     def translate(self, actor: str, verb: str, *args: str) -> list[Transfer | ConnectionEnd]:
-        """What a word of the actor stands for; a cancelled attempt's connection is closed."""
+        """The transfers that a verb stands for; a cancelled attempt's connection is closed."""
         if verb == "given_up":
             return [ConnectionEnd()]
         if verb == "asked":
@@ -40,7 +40,7 @@
         return request
 
     def _forwarded_request(self, tag: str, address: str) -> bytes:
-        """The request at a warehouse, which is the client's but for its host."""
+        """The request that a warehouse receives: the client's request with another host."""
         return self.requests[tag].replace(b"Host: gate", b"Host: " + address.encode())
 
     def answers(self, data: bytes) -> bytes:
@@ -83,7 +83,7 @@
         return self.served(tag, *rows).replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n")
 
     def refused(self, _tag: str, retry_after_ms: str, *wait_estimate_s: str) -> bytes:
-        """The rejection to a client, with the low and high estimate of the wait where there is one."""
+        """The rejection to a client, with the low and high estimate of the wait if there is one."""
         text = b"Code: 202. DB::Exception: All warehouses are busy; try again after a while."
         text += b" (TOO_MANY_SIMULTANEOUS_QUERIES)\n"
         response = self._error_response(b"503 Service Unavailable", 202, text)
--- a/tests/play/settings.py
+++ b/tests/play/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the front end that the exchanges are played against."""
+"""The settings of the front end that the exchanges are replayed against."""
 
 from __future__ import annotations
 
@@ -43,5 +43,5 @@
 [warehouses]
 protocol = "clickhouse"
 """
-# Of these ids, W1 comes first in the order of table group 17 for reads, and so last for loads.
+# With these ids, W1 is first in the engine order of table group 17 for reads and last for loads.
 INSTANCE_IDS = {"W1": "s-3", "W2": "s-1"}
--- a/tests/play/thrift_resp.py
+++ b/tests/play/thrift_resp.py
@@ -1,4 +1,4 @@
-"""The words of the platform's path: Thrift in front, RESP behind."""
+"""The dialect of the path with Thrift towards clients and RESP towards warehouses."""
 
 from __future__ import annotations
 
@@ -11,19 +11,22 @@
 
 
 def encode_resp(*words: bytes) -> bytes:
-    """An array of bulk strings."""
+    """Encode an array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
 
 
 class ThriftResp(Dialect):
-    """The words of the platform's path. A call's sequence number is the place of its letter."""
+    """Translates verbs for the Thrift and RESP path.
+
+    A request's tag is a letter; the sequence number is its position in the alphabet.
+    """
 
     def __init__(self) -> None:
         self.classes: dict[str, str] = {}
 
     @staticmethod
     def call_id(tag: str) -> bytes:
-        """The 16 characters that name the call."""
+        """The call id of 16 characters."""
         return tag.encode() * 16 if tag in "abcdef" else b"%02x" % ord(tag) * 8
 
     @staticmethod
--- a/tests/protocols/test_message_forms.py
+++ b/tests/protocols/test_message_forms.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from play import Actor, Dialect, Http, Stage, ThriftResp, encode_resp
+from play import Actor, Dialect, Harness, Http, ThriftResp, encode_resp
 
 from lilacfront.protocols import thrift
 
@@ -24,9 +24,9 @@
 
 
 @contextmanager
-def answering_stage(path: Callable[[], Dialect] = ThriftResp, **changes: Any) -> Iterator[Stage]:
+def answering_stage(path: Callable[[], Dialect] = ThriftResp, **changes: Any) -> Iterator[Harness]:
     """A stage whose warehouses answer at once."""
-    stage = Stage(path(), **changes)
+    stage = Harness(path(), **changes)
     for name in ("W1", "W2"):
         stage.actors[name].reads_all_connections = True
         stage.actors[name].answer = stage.dialect.answers
@@ -64,7 +64,7 @@
     return [(key.encode(), value) for key, value in fields.items()]
 
 
-def expect_answer(stage: Stage, client: Actor, number: int, rows: bytes) -> None:
+def expect_answer(stage: Harness, client: Actor, number: int, rows: bytes) -> None:
     """The client must receive exactly this answer."""
     expected = thrift.encode_answer(b"invoke", number, rows)
     stage.until(lambda: len(client.received) >= len(expected), "the answer")
@@ -150,7 +150,7 @@
     return [data[start : start + size] for start in range(0, len(data), size)]
 
 
-def send_pieces(stage: Stage, client: Actor, pieces: list[bytes]) -> None:
+def send_pieces(stage: Harness, client: Actor, pieces: list[bytes]) -> None:
     """Send the pieces, with one turn of the program's loop after each."""
     assert client.connection is not None
     for piece in pieces:
--- a/tests/sched/test_loop.py
+++ b/tests/sched/test_loop.py
@@ -1,4 +1,4 @@
-"""Tasks, waits and timers of the loop."""
+"""Tasks, waits and timers of the event loop."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 from lilacfront.sched.channel import Channel
 
 
-def test_wait_ends_by_deadline_value_or_interruption_and_no_value_is_lost(manual_loop: ManualLoop) -> None:
+def test_wait_ends_by_timeout_value_or_interruption_without_losing_a_value(manual_loop: ManualLoop) -> None:
     loop = manual_loop.loop
-    seen: list[object] = []
+    results: list[object] = []
     channel: Channel[int] = Channel(loop)
 
     def run(task: Task) -> None:
-        seen.append(channel.get(task, loop.now + 1))
-        seen.append(channel.get(task, loop.now + 1))
-        seen.append(channel.get(task, loop.now + 1))
+        results.append(channel.get(task, loop.now + 1))
+        results.append(channel.get(task, loop.now + 1))
+        results.append(channel.get(task, loop.now + 1))
         task.clear_interruption()
-        seen.append(channel.get(task, loop.now))
+        results.append(channel.get(task, loop.now))
 
     task = loop.spawn(run)
     manual_loop.run_for(1.5)
     channel.put(7)
-    task.interrupt()  # before the task has run on: the value stays for later
+    # The task has not run since `put`, so the interruption must not lose the value.
+    task.interrupt()
     manual_loop.run_for(0.5)
-    assert seen == [TimedOut, Interrupted, Interrupted, 7]
+    assert results == [TimedOut, Interrupted, Interrupted, 7]
 
 
-def test_task_that_fails_leaves_the_others_running(
+def test_exception_in_a_task_or_timer_does_not_stop_other_tasks(
     manual_loop: ManualLoop, caplog: pytest.LogCaptureFixture
 ) -> None:
     loop = manual_loop.loop
@@ -49,7 +50,7 @@
     assert len(caplog.records) == 2
 
 
-def test_wait_that_ended_early_leaves_neither_its_timer_nor_its_task_behind(manual_loop: ManualLoop) -> None:
+def test_timer_and_task_of_a_wait_that_ended_early_are_released(manual_loop: ManualLoop) -> None:
     loop = manual_loop.loop
     channel: Channel[int] = Channel(loop)
     received: list[int] = []
--- a/tests/sched/test_stream.py
+++ b/tests/sched/test_stream.py
@@ -1,4 +1,4 @@
-"""Streams: bounds on what is queued, taking back, closing."""
+"""Streams: limits of the queue, withdrawal of chunks, and closing."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from event_loop import ManualLoop
 
 
-def test_peer_that_does_not_read_is_cut_off_after_a_time(manual_loop: ManualLoop) -> None:
+def test_peer_that_does_not_read_is_disconnected_after_the_stall_timeout(manual_loop: ManualLoop) -> None:
     loop = manual_loop.loop
     stream, peer = manual_loop.connected_stream(64 << 20)
     stream.write(b"x" * (32 << 20))
@@ -23,14 +23,14 @@
     peer.close()
 
 
-def test_peer_that_does_not_read_is_cut_off_by_the_size_of_what_is_queued(manual_loop: ManualLoop) -> None:
+def test_peer_is_disconnected_above_the_queue_limit_of_its_stream(manual_loop: ManualLoop) -> None:
     stream, peer = manual_loop.connected_stream(1000)
     stream.write(b"x" * 1001)
     assert stream.closed
     peer.close()
 
 
-def test_bytes_that_have_not_begun_to_leave_can_be_withdrawn(manual_loop: ManualLoop) -> None:
+def test_chunk_can_be_withdrawn_until_a_part_of_it_is_sent(manual_loop: ManualLoop) -> None:
     stream, peer = manual_loop.connected_stream(1000)
     first = stream.write(b"first")
     second = stream.write(b"second")
@@ -56,22 +56,25 @@
     stream.close()
 
 
-def test_peers_that_do_not_read_together_hold_no_more_than_the_shared_bound(manual_loop: ManualLoop) -> None:
+def test_stream_with_the_longest_queue_is_closed_above_the_queue_limit_of_the_loop(
+    manual_loop: ManualLoop,
+) -> None:
     loop = manual_loop.loop
-    ends = [manual_loop.connected_stream(8 << 20) for _ in range(3)]
+    pairs = [manual_loop.connected_stream(8 << 20) for _ in range(3)]
     loop.max_queued_bytes = 6 << 20
-    for n, (stream, _) in enumerate(ends):
-        stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)  # whatever the system's default is
+    for n, (stream, _) in enumerate(pairs):
+        # The queue must not depend on the system's default buffer size.
+        stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         stream.write(bytes((4 << 20) - (n << 10)))
         loop.turn(0)
-    still_open = [stream for stream, _ in ends if not stream.closed]
+    still_open = [stream for stream, _ in pairs if not stream.closed]
     assert len(still_open) == 1
     assert loop.queued_bytes == still_open[0].queued_bytes <= loop.max_queued_bytes
     still_open[0].close()
     assert loop.queued_bytes == 0
 
 
-def test_connection_that_closes_does_not_read_on_for_ever(manual_loop: ManualLoop) -> None:
+def test_graceful_close_discards_a_limited_number_of_bytes(manual_loop: ManualLoop) -> None:
     stream, peer = manual_loop.connected_stream(1000)
     peer.setblocking(False)
     closed: list[bool] = []
@@ -82,4 +85,4 @@
         with contextlib.suppress(BlockingIOError):
             sent += peer.send(bytes(65536))
         manual_loop.loop.turn(0)
-        assert sent < 16 << 20, "still reading"
+        assert sent < 16 << 20, f"the stream still reads after {sent} bytes"
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter on a real pipe."""
+"""The adapter as a process that is connected by pipes."""
 
 from __future__ import annotations
 
@@ -48,12 +48,12 @@
 
 
 def test_many_gateways_are_hosted_until_the_input_ends() -> None:
-    down = struct.pack(">BI", 6, 0)
+    gateway_stopped = struct.pack(">BI", 6, 0)
     done = run_adapter(
         frame(5)
         + frame(9, start(0), *endpoints(0), start(1), *endpoints(1))
         + frame(10, request_record(0, 1), request_record(1, 2))
-        + frame(11, down, start(0), *endpoints(0), request_record(0, 3))
+        + frame(11, gateway_stopped, start(0), *endpoints(0), request_record(0, 3))
         + frame(12, request_record(7, 4))
     )
     assert done.returncode == 0
@@ -64,8 +64,11 @@
         (size,) = struct.unpack_from(">I", done.stdout, position)
         replies.append(done.stdout[position + 4 : position + size])
         position += size
-    sent = [r.count(struct.pack(">BI", 65, n)) for r, n in zip(replies, (0, 0, 0, 0, 7), strict=True)]
-    assert sent == [0, 0, 1, 1, 0]
+    forward_counts = [
+        reply.count(struct.pack(">BI", 65, gateway))
+        for reply, gateway in zip(replies, (0, 0, 0, 0, 7), strict=True)
+    ]
+    assert forward_counts == [0, 0, 1, 1, 0]
     assert struct.pack(">BIQ", 65, 1, 2) in replies[2]
 
 
@@ -81,14 +84,14 @@
         struct.pack(">IIQ", 0, 3, 0),
     ],
 )
-def test_malformed_input_ends_the_program_with_one_line_and_a_status(data: bytes) -> None:
+def test_malformed_input_ends_the_program_with_an_error_line_and_exit_status(data: bytes) -> None:
     done = run_adapter(data)
     assert done.returncode == 1
     assert done.stderr.count(b"\n") == 1
     assert done.stderr.startswith(b"lilacfront: ")
 
 
-def test_an_exception_of_a_gateway_is_reported() -> None:
+def test_exception_in_a_gateway_is_reported() -> None:
     done = run_adapter(frame(9, start(0, {"classes": []})))
     assert done.returncode == 0
     assert b"classes is empty" in done.stdout
--- a/tests/simulator/test_batch_decoder.py
+++ b/tests/simulator/test_batch_decoder.py
@@ -1,4 +1,4 @@
-"""Golden records and actions of the simulator's codec."""
+"""Recorded encodings of the simulator's records and actions."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def decode(text: str, reader: RecordReader | None = None) -> GatewayEvent:
-    """The one record of a batch."""
+    """Decode a batch of one record."""
     batch = Batch(1, 0, bytes.fromhex(text.replace(" ", "")))
     (record,) = (reader or RecordReader()).records(batch)
     assert isinstance(record, GatewayEvent)
@@ -69,7 +69,7 @@
     assert event.report.in_flight == 7.0
 
 
-def test_endpoint_lists_are_resolved_in_order_and_numbers_are_used_again() -> None:
+def test_reference_resolves_to_the_latest_endpoint_list_with_its_number() -> None:
     entry = "00000000005d1420 0a9011f2 1f6c 0000 02 00 01 3fc00000".replace(" ", "")
     removed = "0000000000000000 0a9011f2 1f6c 0000 01 00 01 3fc00000".replace(" ", "")
     reference = "09 00000003 03 0000000000000029 0000".replace(" ", "")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def suite(pytester: pytest.Pytester) -> pytest.Pytester:
-    """A project of its own with this one's conftest."""
+    """A separate test project that uses the conftest of this one."""
     tests = pytester.path / "tests"
     tests.mkdir()
     for name in ("conftest.py", "known_red.py"):
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from play import Stage, ThriftResp
+from play import Harness, ThriftResp
 
 from lilacfront.server import memory
 
@@ -14,7 +14,7 @@
 
 def test_free_pages_are_returned_to_the_system_every_few_seconds(monkeypatch: pytest.MonkeyPatch) -> None:
     calls: list[float] = []
-    stage = Stage(ThriftResp(), engines=0)
+    stage = Harness(ThriftResp(), engines=0)
     monkeypatch.setattr(memory, "release_free_memory", lambda: calls.append(stage.clock.now))
     try:
         stage.wait(11)
@@ -39,7 +39,7 @@
 def test_ping_is_healthy_once_the_change_log_of_the_start_has_been_read(
     data: bytes | None, after_s: float, is_healthy: bool
 ) -> None:
-    stage = Stage(ThriftResp(), fresh=True, **(UNREACHABLE_LOG if data is None else {}))
+    stage = Harness(ThriftResp(), fresh=True, **(UNREACHABLE_LOG if data is None else {}))
     try:
         log = stage.actors["L"]
         for _ in range(20):
