--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -5,9 +5,9 @@
 from dataclasses import replace
 
 from helpers import (
-    COLD_RULES,
     SECOND_US,
     SHORT,
+    SLOW_START_RULES,
     end_attempt,
     endpoints,
     forwards,
@@ -30,8 +30,8 @@
 
 def test_a_gateway_sends_a_warming_engine_no_more_than_its_budget() -> None:
     now = 100 * SECOND_US
-    warm_router = make_router(policy_settings(rules=COLD_RULES), endpoints(1), now)
-    cold_router = make_router(policy_settings(rules=COLD_RULES), endpoints(1, started_us=now), now)
+    warm_router = make_router(policy_settings(rules=SLOW_START_RULES), endpoints(1), now)
+    cold_router = make_router(policy_settings(rules=SLOW_START_RULES), endpoints(1, started_us=now), now)
     assert len([1 for n in range(12) if forwards(receive_request(warm_router, now, n))]) == 12
     sent_count = len([1 for n in range(12) if forwards(receive_request(cold_router, now, n))])
     # Seconds of work per window; before the first sample a request counts with its latency objective of 1 s.
@@ -44,7 +44,7 @@
 
     def sent_count(slow_runs: int) -> int:
         now, started_us = 60 * SECOND_US, 200 * SECOND_US
-        router = make_router(policy_settings(rules=COLD_RULES), endpoints(1), now)
+        router = make_router(policy_settings(rules=SLOW_START_RULES), endpoints(1), now)
         for n in range(30 + slow_runs):
             (send,) = forwards(receive_request(router, now, 1000 + n))
             now += 100_000 if n < 30 or n % 2 else 1_500_000
@@ -67,7 +67,7 @@
     fleet_now = (replace(endpoints(1)[0], started_us=started_us), *endpoints(12)[1:])
     routers = [
         make_router(
-            policy_settings(SHORT, gateway_count=200, gateway_index=n, rules=COLD_RULES),
+            policy_settings(SHORT, gateway_count=200, gateway_index=n, rules=SLOW_START_RULES),
             endpoints(12),
             started_us - 10 * SECOND_US,
         )
@@ -97,7 +97,7 @@
     started_us = 100 * SECOND_US
     fleet_now = (replace(endpoints(1)[0], started_us=started_us), *endpoints(12)[1:])
     sent_there = 0
-    for router in make_routers(200, fleet_now, SHORT, rules=COLD_RULES):
+    for router in make_routers(200, fleet_now, SHORT, rules=SLOW_START_RULES):
         router.state.class_estimates[0].work_us = 200_000.0
         for number, engine in router.state.engines.items():
             router.loads.record(engine, 0.6 if number == 1 else 0.5)
@@ -115,14 +115,14 @@
     started_us = 100 * SECOND_US
     cold = (replace(endpoints(1)[0], started_us=started_us),)
     configs = [
-        policy_settings(SHORT, gateway_count=200, gateway_index=n, rules=COLD_RULES) for n in range(200)
+        policy_settings(SHORT, gateway_count=200, gateway_index=n, rules=SLOW_START_RULES) for n in range(200)
     ]
 
     def sends(gateway_started_us: int, now: int) -> list[bool]:
         routers = [make_router(config, cold, gateway_started_us) for config in configs]
         return [bool(forwards(receive_request(router, now, 1))) for router in routers]
 
-    window_us = COLD_RULES.overload_window_us + 500_000  # windows start at multiples of this
+    window_us = SLOW_START_RULES.overload_window_us + 500_000  # windows start at multiples of this
     assert started_us % window_us == 0
     assert 0 < sum(sends(started_us, started_us + SECOND_US)) < 20
     assert not any(sends(started_us + SECOND_US, started_us + SECOND_US + 100_000))
@@ -134,12 +134,12 @@
 def test_an_attempt_delayed_into_the_next_window_is_sent_only_in_the_gateways_turn() -> None:
     """After a slow connect the attempt would add to those that other gateways send in the next window."""
     started_us = 100 * SECOND_US
-    window_us = COLD_RULES.overload_window_us + 500_000
+    window_us = SLOW_START_RULES.overload_window_us + 500_000
     cold = (replace(endpoints(1)[0], started_us=started_us),)
     held_count = sent_count = 0
     for gateway in range(200):
         router = make_router(
-            policy_settings(SHORT, gateway_count=200, gateway_index=gateway, rules=COLD_RULES),
+            policy_settings(SHORT, gateway_count=200, gateway_index=gateway, rules=SLOW_START_RULES),
             cold,
             started_us - 10 * SECOND_US,
         )
@@ -147,7 +147,7 @@
             continue
         assert router.may_begin(started_us + window_us - 50_000, 1)
         new_router = make_router(
-            policy_settings(SHORT, gateway_count=200, gateway_index=gateway, rules=COLD_RULES),
+            policy_settings(SHORT, gateway_count=200, gateway_index=gateway, rules=SLOW_START_RULES),
             cold,
             started_us - 10 * SECOND_US,
         )
