--- a/lilacfront/core/dispatcher.py
+++ b/lilacfront/core/dispatcher.py
@@ -170,7 +170,8 @@
             if self._loop.wait(in_flight.task, wait_end) is None:
                 continue
             if in_flight.task.interrupted:
-                in_flight.task.settle()  # the interruption was for an attempt that has already ended
+                # The interruption was for an attempt that has already ended.
+                in_flight.task.clear_interruption()
             elif in_flight.decision is None:
                 # The router sent no final answer by the deadline and the grace period; fail the request here.
                 self.cancel(in_flight)
--- a/lilacfront/frontends/connection_handover.py
+++ b/lilacfront/frontends/connection_handover.py
@@ -136,7 +136,7 @@
         if self._registry.successor is None or self.is_transferred or self._stream.closed:
             return False
         # While bytes are queued here, both processes would write to the socket.
-        return not self._stream.queued and partial_bytes <= MAX_PARTIAL_MESSAGE_BYTES
+        return not self._stream.queued_bytes and partial_bytes <= MAX_PARTIAL_MESSAGE_BYTES
 
     def transfer(
         self, frames: FrameDecoder, pending: tuple[tuple[int, bytes], ...], had_request: bool
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from play import Stage, ThriftResp
+from play import Harness, ThriftResp
 
 from lilacfront.server import memory
 
@@ -14,7 +14,7 @@
 
 def test_free_memory_is_released_periodically(monkeypatch: pytest.MonkeyPatch) -> None:
     released_at: list[float] = []
-    stage = Stage(ThriftResp(), engines=0)
+    stage = Harness(ThriftResp(), engines=0)
     monkeypatch.setattr(memory, "release_free_memory", lambda: released_at.append(stage.clock.now))
     try:
         stage.wait(11)
@@ -39,7 +39,7 @@
 def test_server_is_healthy_once_it_has_caught_up_with_the_change_log(
     data: bytes | None, after_s: float, is_healthy: bool
 ) -> None:
-    stage = Stage(ThriftResp(), fresh=True, **(UNREACHABLE_CHANGE_LOG if data is None else {}))
+    stage = Harness(ThriftResp(), fresh=True, **(UNREACHABLE_CHANGE_LOG if data is None else {}))
     try:
         change_log = stage.actors["L"]
         for _ in range(20):
--- a/tests/upstream/test_connections.py
+++ b/tests/upstream/test_connections.py
@@ -109,4 +109,6 @@
         assert not upstream._pools
         assert upstream._connection_count == 0
         listener.accept()[0].close()
-        assert [descriptor for descriptor in loop._watched if descriptor != loop._wake_in.fileno()] == []
+        assert [
+            descriptor for descriptor in loop._watched if descriptor != loop._wakeup_receiver.fileno()
+        ] == []
