--- a/lilacfront/demo.py
+++ b/lilacfront/demo.py
@@ -1,4 +1,4 @@
-"""`lilacfront demo`: a gateway on this machine alone, with stand-in warehouses and generated load."""
+"""`lilacfront demo`: runs a gateway, stand-in warehouses and a load generator on the local machine."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from lilacfront.load.cli import run_and_print
 from lilacfront.load.report import write_report as write_report
 
-BEHAVIOUR = b"""
+STANDIN_BEHAVIOUR = b"""
 protocol = "clickhouse"
 delay = { shape = "lognormal", median_ms = 12.0, sigma = 0.6 }
 shares = { error = 0.002, reset = 0.001 }
 """
-GATEWAY = """
+GATEWAY_TEMPLATE = """
 [clickhouse]
 listen = "127.0.0.1:{port}"
 read_class = "report"
@@ -35,7 +35,7 @@
 [warehouses]
 protocol = "clickhouse"
 """
-PLAN = """# A lookup-heavy mix with a burst in the middle, as the demonstration runs it.
+PLAN_TEMPLATE = """# A lookup-heavy mix with a burst in the middle, as the demonstration runs it.
 seed = 11
 connections = 64
 [target]
@@ -87,21 +87,21 @@
 
 
 class DemoError(LilacfrontError, RuntimeError):
-    """The demonstration can't go on; the message says why."""
+    """The demonstration failed; the message says why."""
 
 
 def free_port() -> int:
-    """Returns a TCP port that nothing listens on."""
+    """Returns a TCP port of 127.0.0.1 that is not in use."""
     with create_server(("127.0.0.1", 0)) as server:
         port: int = server.getsockname()[1]
         return port
 
 
 def configuration(example: Path, warehouses: list[str]) -> dict[str, Any]:
-    """Returns the example's settings with these warehouses.
+    """Returns the settings of the example file, with its warehouses replaced by `warehouses`.
 
     Raises:
-        DemoError: The example can't be read.
+        DemoError: The example file can't be read.
     """
     try:
         settings: dict[str, Any] = json.loads(example.read_bytes())
@@ -124,13 +124,13 @@
 
 
 class Gateway:
-    """A gateway process with its ClickHouse front end; runs within a `with` block."""
+    """A gateway process with a ClickHouse front end; a context manager that starts and stops it."""
 
     def __init__(self, example: Path, warehouses: list[str], folder: Path) -> None:
         self.port = free_port()
         self.log = folder / "gateway.log"
         (folder / "config.json").write_text(json.dumps(configuration(example, warehouses), indent=1))
-        (folder / "gateway.toml").write_text(GATEWAY.format(port=self.port))
+        (folder / "gateway.toml").write_text(GATEWAY_TEMPLATE.format(port=self.port))
         self._folder = folder
 
     def __enter__(self) -> Gateway:
@@ -140,15 +140,15 @@
             self._process = subprocess.Popen(
                 [*command, str(self._folder / "gateway.toml")], env=environment, stderr=log
             )
-        until = time.monotonic() + START_TIMEOUT_S
-        while not self._is_up():
-            if self._process.poll() is not None or time.monotonic() > until:
+        start_deadline = time.monotonic() + START_TIMEOUT_S
+        while not self._responds_to_ping():
+            if self._process.poll() is not None or time.monotonic() > start_deadline:
                 self.__exit__()
-                raise DemoError(f"the gateway does not come up; {self.log} says why")
+                raise DemoError(f"the gateway did not start; see {self.log}")
             time.sleep(PING_INTERVAL_S)
         return self
 
-    def _is_up(self) -> bool:
+    def _responds_to_ping(self) -> bool:
         try:
             with urllib.request.urlopen(
                 f"http://127.0.0.1:{self.port}/ping", timeout=PING_TIMEOUT_S
@@ -167,8 +167,8 @@
 
 
 def load_plan(port: int, seconds: float) -> bytes:
-    """Returns a load plan of `seconds` against the gateway on a port."""
-    return PLAN.format(port=port, quarter=seconds / 4, half=seconds / 2, burst=seconds / 8).encode()
+    """Returns a load plan for the gateway on `port` that takes `seconds`."""
+    return PLAN_TEMPLATE.format(port=port, quarter=seconds / 4, half=seconds / 2, burst=seconds / 8).encode()
 
 
 @click.command("demo")
@@ -177,23 +177,23 @@
     type=click.Path(file_okay=False, path_type=Path),
     default=Path("found/demo"),
     show_default=True,
-    help="A folder; each run gets one of its own in it.",
+    help="Directory in which each run creates a subdirectory.",
 )
 @click.option(
     "--config",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
     default=Path("deploy/example.json"),
     show_default=True,
-    help="Whose settings the gateway takes.",
+    help="Configuration file for the gateway; its warehouses are replaced.",
 )
 @click.option("--seconds", type=click.FloatRange(4, 3600), default=15.0, show_default=True)
 def demo(out: Path, config: Path, seconds: float) -> None:
-    """Two stand-in warehouses, the gateway with its ClickHouse front, and a load on it."""
+    """Run two stand-in warehouses, a gateway with a ClickHouse front end, and load against it."""
     folders = (out / f"run-{n}" for n in count(1))
     folder = next(path for path in folders if not path.exists())
     folder.mkdir(parents=True)
     try:
-        with StandInProcesses(BEHAVIOUR, 2, folder) as warehouses:
+        with StandInProcesses(STANDIN_BEHAVIOUR, 2, folder) as warehouses:
             click.echo(f"warehouses at {', '.join(warehouses.addresses)}")
             with Gateway(config, warehouses.addresses, folder) as gateway:
                 click.echo(f"gateway at 127.0.0.1:{gateway.port}; {seconds:g} s of load")
--- a/lilacfront/experiments/cli.py
+++ b/lilacfront/experiments/cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront lab run`: experiments from files."""
+"""`lilacfront lab run`: runs experiments described in TOML files."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lilacfront.experiments.simulation import SECONDS_PER_MINUTE, Simulation
 from lilacfront.lab.cli import group
 
-LONG_WAIT_S = 0.5  # longer waits have rows of their own: most requests do not wait at all
+LONG_WAIT_S = 0.5  # longer waits are also shown separately, since most requests do not wait at all
 PERCENTILES = (50, 90, 99)
 
 
@@ -25,7 +25,7 @@
     "files", nargs=-1, required=True, type=click.Path(exists=True, dir_okay=False, path_type=Path)
 )
 def run(files: tuple[Path, ...]) -> None:
-    """Run experiments: teams and decision module against a model of engines, without sockets."""
+    """Run experiments: teams and router against a model of engines, without sockets."""
     console = Console()
     for path in files:
         try:
@@ -41,7 +41,7 @@
 
 
 def outcomes(findings: Findings) -> str:
-    """Returns the outcomes and how many requests had them, on one line."""
+    """Returns the number of requests by outcome, on one line."""
     return ", ".join(f"{count} {name}" for name, count in sorted(findings.outcomes.items()))
 
 
@@ -57,7 +57,7 @@
 def latency_table(findings: Findings) -> Table:
     """Latency by team and class."""
     percentiles = tuple(f"p{percentile}" for percentile in PERCENTILES)
-    table = _table("seconds from coming to served", ("team", "class"), ("served", *percentiles))
+    table = _table("seconds from arrival to answer", ("team", "class"), ("served", *percentiles))
     for (team, class_name), latencies in sorted(findings.latency.items()):
         figures = [f"{latency:.3f}" for latency in np.percentile(latencies, PERCENTILES)]
         table.add_row(team, class_name, str(len(latencies)), *figures)
@@ -65,30 +65,30 @@
 
 
 def budget_table(experiment: Experiment, findings: Findings) -> Table:
-    """Teams with a budget: thread-seconds a second, minute by minute."""
-    table = _table("thread-seconds a second, by minute", ("team", "budget", "minutes"), ())
+    """Thread-seconds per second used in each minute, for teams with a budget."""
+    table = _table("thread-seconds per second, by minute", ("team", "budget", "minutes"), ())
     for name, team in sorted(experiment.teams.teams.items()):
         if team.budget_rate is not None:
             minutes = sorted(findings.minutes[name].items())
-            used = [f"{minute.used / SECONDS_PER_MINUTE:.2f}" for _, minute in minutes]
+            used = [f"{minute.thread_seconds / SECONDS_PER_MINUTE:.2f}" for _, minute in minutes]
             table.add_row(name, f"{team.budget_rate:g}", " ".join(used))
     return table
 
 
 def wait_table(findings: Findings) -> Table:
     """Accuracy of the estimated waits, by team."""
-    figure_columns = ("how many", "within 25% or 20 ms", "between the bounds")
-    table = _table("estimates of the wait held against what came", ("team", "waits"), figure_columns)
+    figure_columns = ("count", "within 25% or 20 ms", "within bounds")
+    table = _table("estimated against actual queue waits", ("team", "waits"), figure_columns)
     for team in ("", *sorted({wait.team for wait in findings.waits})):
         for min_wait_s in (0.0, LONG_WAIT_S):
             accuracy = findings.accuracy(team, min_wait_s)
-            if accuracy.count and not math.isnan(accuracy.accurate):
-                which = f"over {min_wait_s:g} s" if min_wait_s else "all"
+            if accuracy.count and not math.isnan(accuracy.accurate_fraction):
+                wait_range = f"over {min_wait_s:g} s" if min_wait_s else "all"
                 table.add_row(
                     team or "(all)",
-                    which,
+                    wait_range,
                     str(accuracy.count),
-                    f"{accuracy.accurate:.1%}",
-                    f"{accuracy.within_bounds:.1%}",
+                    f"{accuracy.accurate_fraction:.1%}",
+                    f"{accuracy.within_bounds_fraction:.1%}",
                 )
     return table
--- a/lilacfront/experiments/experiment_file.py
+++ b/lilacfront/experiments/experiment_file.py
@@ -1,4 +1,4 @@
-"""Experiments as TOML files."""
+"""Reads experiments from TOML files."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ExperimentError(LilacfrontError, ValueError):
-    """An experiment that can't be used; the text names the file and the key."""
+    """An invalid experiment; the message names the file and the key."""
 
 
 class ClassEntry(
@@ -27,7 +27,10 @@
     forbid_unknown_fields=True,
     rename={"latency_objective_s": "aim_s", "idempotency": "effect", "priority_weight": "worth"},
 ):
-    """[[class]]: what its requests need, and how long their clients wait."""
+    """[[class]]: the cost of the class's requests, and their latency objective and deadline.
+
+    Execution times are log-normal with the median `median_s` and the shape `sigma`.
+    """
 
     name: str
     threads: Annotated[int, Meta(ge=1)]
@@ -40,14 +43,14 @@
 
 
 class EngineEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """[[engine]]: an engine of the model."""
+    """[[engine]]: a simulated engine."""
 
     name: str
     cores: Positive = 12.0
 
 
 class FaultEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """[[trouble]]: from `at_s` on, for `seconds`, the engine runs at `speed` (0: it is gone)."""
+    """[[trouble]]: a fault. From `at_s` on, the engine runs at `speed` for `seconds`; at 0 it is down."""
 
     engine: str
     at_s: Annotated[float, Meta(ge=0)]
@@ -60,11 +63,11 @@
     forbid_unknown_fields=True,
     rename={"classes": "class", "engines": "engine", "faults": "trouble"},
 ):
-    """The whole file; plans and teams are files beside it."""
+    """The content of an experiment file; `plans` and `teams` name files relative to its directory."""
 
     classes: Annotated[list[ClassEntry], Meta(min_length=1)]
     engines: Annotated[list[EngineEntry], Meta(min_length=1)]
-    plans: Annotated[list[str], Meta(min_length=1)]  # all run at once
+    plans: Annotated[list[str], Meta(min_length=1)]  # run concurrently
     teams: str
     seed: Annotated[int, Meta(ge=0)] = 0
     faults: list[FaultEntry] = []
@@ -75,10 +78,10 @@
     """An experiment with the files that it names.
 
     Attributes:
-        file: Its own file.
+        file: The decoded experiment file.
         plans: The load plans.
-        teams: The settings of teams.
-        folder: Where the files are.
+        teams: The settings of the teams.
+        folder: The directory of the files.
     """
 
     file: ExperimentFile
@@ -88,15 +91,15 @@
 
     @property
     def class_names(self) -> list[str]:
-        """The request classes in the order of their indices."""
+        """The names of the request classes, ordered by class index."""
         return [entry.name for entry in self.file.classes]
 
 
 def load(path: Path) -> Experiment:
-    """Read an experiment with the plans and teams that it names.
+    """Reads an experiment with the plans and teams that it names.
 
     Raises:
-        ExperimentError: A file is missing or can't be used.
+        ExperimentError: A file is missing or invalid.
     """
     try:
         file = msgspec.toml.decode(path.read_bytes(), type=ExperimentFile)
@@ -106,21 +109,21 @@
     except (msgspec.MsgspecError, TeamsSettingsError, PlanError, OSError) as error:
         raise ExperimentError(f"{path}: {error}") from None
     if teams is None:
-        raise ExperimentError(f"{path}: teams: {file.teams} lists none")
+        raise ExperimentError(f"{path}: teams: {file.teams} defines no teams")
     experiment = Experiment(file, loaded, teams, path.parent)
     _check_names(path, experiment)
     return experiment
 
 
 def _check_names(path: Path, experiment: Experiment) -> None:
-    """Faults name listed engines, and plans listed classes."""
+    """Checks that faults name listed engines and mix entries name listed classes."""
     engines = {entry.name for entry in experiment.file.engines}
     for n, fault in enumerate(experiment.file.faults):
         if fault.engine not in engines:
-            raise ExperimentError(f"{path}: trouble[{n}].engine: {fault.engine!r} is not listed")
+            raise ExperimentError(f"{path}: trouble[{n}].engine: {fault.engine!r} is not a listed engine")
     for k, plan in enumerate(experiment.plans):
         for n, entry in enumerate(plan.mix):
             if entry.class_name not in experiment.class_names:
                 raise ExperimentError(
-                    f"{path}: plans[{k}]: mix[{n}].class: {entry.class_name!r} is not listed"
+                    f"{path}: plans[{k}]: mix[{n}].class: {entry.class_name!r} is not a listed class"
                 )
--- a/lilacfront/experiments/findings.py
+++ b/lilacfront/experiments/findings.py
@@ -1,4 +1,4 @@
-"""What an experiment finds."""
+"""The results of a simulated experiment."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 @dataclass(slots=True)
 class MinuteFigures:
-    """What one team did in one minute.
+    """The figures of one team in one minute. A request counts in the minute of its admission or rejection.
 
     Attributes:
-        used: Thread-seconds of the requests admitted in it, as they came to cost.
-        served: Requests that were answered.
-        refused: Requests that were rejected or failed.
+        thread_seconds: The actual thread-seconds of the requests admitted in this minute.
+        served: The number of requests that were answered.
+        rejected: The number of requests that were rejected or failed.
     """
 
-    used: float = 0.0
+    thread_seconds: float = 0.0
     served: int = 0
-    refused: int = 0
+    rejected: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class ObservedWait:
-    """A request that was admitted: when it came, whose it was, the estimate, and its actual wait."""
+    """The wait of an admitted request in its team's queue: estimated on arrival, and actual."""
 
     arrived_at: float
     team: str
@@ -34,21 +34,21 @@
 
     @property
     def is_accurate(self) -> bool:
-        """Whether the estimate was within a quarter of the wait or 20 ms."""
+        """Whether the estimate is within 25% of the actual wait, or within 20 ms."""
         return abs(self.estimate.likely - self.actual_s) <= max(SLACK_S, ACCURATE_FRACTION * self.actual_s)
 
     @property
     def is_within_bounds(self) -> bool:
-        """Whether the wait was between the estimated bounds."""
+        """Whether the actual wait is within the estimated bounds, with a tolerance of 20 ms."""
         return self.estimate.low - SLACK_S <= self.actual_s <= self.estimate.high + SLACK_S
 
 
 @dataclass(slots=True, frozen=True)
 class EstimateAccuracy:
-    """Fractions of estimates that were accurate, and within bounds, and how many there were."""
+    """The fractions of estimates that were accurate and within bounds, and the number of estimates."""
 
-    accurate: float
-    within_bounds: float
+    accurate_fraction: float
+    within_bounds_fraction: float
     count: int
 
 
@@ -57,11 +57,11 @@
     """All figures of one run.
 
     Attributes:
-        minutes: By team and minute.
-        latency: Seconds from arrival to answer, by team and class.
-        waits: Of all admitted requests.
-        outcomes: How many requests had which outcome.
-        sent: All requests.
+        minutes: The figures by team and minute.
+        latency: Latencies in seconds from arrival to answer, by team and class.
+        waits: The queue waits of all admitted requests.
+        outcomes: The number of requests by outcome.
+        sent: The number of all requests.
     """
 
     minutes: dict[str, dict[int, MinuteFigures]] = field(
@@ -73,11 +73,16 @@
     sent: int = 0
 
     def accuracy(self, team: str = "", min_wait_s: float = 0.0) -> EstimateAccuracy:
-        """Accuracy over one team's waits (empty: all) of `min_wait_s` and more."""
+        """Returns the accuracy of the estimates for waits of at least `min_wait_s`.
+
+        Args:
+            team: The team; empty for all teams.
+            min_wait_s: Shorter actual waits are ignored.
+        """
         waits = [wait for wait in self.waits if team in ("", wait.team) and wait.actual_s >= min_wait_s]
         divisor = max(1, len(waits))
         return EstimateAccuracy(
-            accurate=sum(wait.is_accurate for wait in waits) / divisor,
-            within_bounds=sum(wait.is_within_bounds for wait in waits) / divisor,
+            accurate_fraction=sum(wait.is_accurate for wait in waits) / divisor,
+            within_bounds_fraction=sum(wait.is_within_bounds for wait in waits) / divisor,
             count=len(waits),
         )
--- a/lilacfront/experiments/simulation.py
+++ b/lilacfront/experiments/simulation.py
@@ -1,7 +1,7 @@
-"""One gateway's teams and router against a model of engines, event by event.
+"""A discrete-event simulation of one gateway's teams and router with a model of engines.
 
-All that decides is the program's own: `TeamScheduler` and `RequestRouter`. Only engines, clients and the
-clock are models. A run of ten minutes takes seconds and gives the same figures each time.
+The gateway's own `TeamScheduler` and `RequestRouter` make all decisions; engines, clients and the clock are
+simulated. A run of ten minutes takes seconds and is deterministic.
 """
 
 from __future__ import annotations
@@ -40,48 +40,48 @@
 LIMITS = PolicyLimits(
     max_attempts=5, may_cancel=True, may_send_retry_after=True, max_retry_after_us=2_000_000
 )
-EXECUTION_TIME_STREAM = 77  # with the seed: the random numbers of execution times
+EXECUTION_TIME_STREAM = 77  # seeds the random execution times, together with the experiment's seed
 TABLE_GROUPS = 50
 SECONDS_PER_MINUTE = 60
 SERVED = "served"
 FAILED = "failed"
-REFUSED_BY_ROUTER = "refused by the module"
-REFUSED_BY_TEAMS = "refused: "  # with the reason behind it
-NO_WAIT = WaitEstimate(0.0, 0.0, 0.0)
+REJECTED_BY_ROUTER = "refused by the module"
+REJECTED_BY_TEAMS = "refused: "  # a prefix; the reason follows
+ZERO_WAIT = WaitEstimate(0.0, 0.0, 0.0)
 
 
 @dataclass(slots=True)
 class SimulatedRequest:
-    """A request in the model. Times are on the simulation's clock, in seconds.
+    """A simulated request. Times are in seconds on the simulation's clock.
 
     Attributes:
-        due: As the load plan has it.
-        class_index: Its class.
-        team: Whose queue it enters.
-        arrived_at: When it came.
-        deadline: When its client stops waiting.
-        execution_s: Seconds of its own work, on an idle engine.
-        estimate: Of its wait, on arrival.
-        admitted_at: When it left its queue.
-        attempts: Attempts that began.
-        ran_s: Seconds over its attempts that ended.
+        scheduled: The request in the schedule of the load plan.
+        class_index: The index of the request class.
+        team: The team whose queue the request enters.
+        arrived_at: The time of arrival.
+        deadline: The time at which the client stops waiting.
+        execution_s: The execution time on an idle engine.
+        estimate: The estimate of the queue wait, made on arrival.
+        admitted_at: The time at which the request left the queue.
+        attempts: The number of attempts started.
+        executed_s: The total duration of the attempts that have ended.
     """
 
-    due: ScheduledRequest
+    scheduled: ScheduledRequest
     class_index: int
     team: str
     arrived_at: float
     deadline: float
     execution_s: float
-    estimate: WaitEstimate = NO_WAIT
+    estimate: WaitEstimate = ZERO_WAIT
     admitted_at: float = 0.0
     attempts: int = 0
-    ran_s: float = 0.0
+    executed_s: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class RunningAttempt:
-    """An attempt under way: where, its number, and since when."""
+    """An attempt in progress: its engine, its index in the request, and its start time."""
 
     engine: int
     attempt: int
@@ -90,21 +90,21 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerDue:
-    """A timer of the router is due."""
+    """A timer of the router expires."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
-class CancelDue:
-    """An attempt that the router has cancelled stops."""
+class AttemptCancelDue:
+    """The current attempt of a request is cancelled at its engine, as the router decided."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
-class RequestOver:
-    """The scheduler learns that an admitted request is over; None: it never ran."""
+class RequestEnded:
+    """The scheduler is notified that an admitted request ended; None: it had no attempt."""
 
     request: int
     execution_s: float | None
@@ -112,13 +112,13 @@
 
 @dataclass(slots=True, frozen=True)
 class SpeedChange:
-    """A fault begins or ends; speed 0: the engine is gone."""
+    """The speed of an engine changes at the start or end of a fault; at speed 0 the engine is down."""
 
     engine_name: str
     speed: float
 
 
-ScheduledEvent = TimerDue | CancelDue | RequestOver | SpeedChange
+ScheduledEvent = TimerDue | AttemptCancelDue | RequestEnded | SpeedChange
 
 
 def _request_class(entry: ClassEntry) -> RequestClass:
@@ -138,7 +138,7 @@
 
 
 class Simulation:
-    """Runs one experiment."""
+    """The simulation of one experiment."""
 
     def __init__(self, experiment: Experiment) -> None:
         file = experiment.file
@@ -160,28 +160,28 @@
         self._requests: dict[int, SimulatedRequest] = {}
         self._running: dict[int, RunningAttempt] = {}
         self._random = np.random.default_rng([file.seed, EXECUTION_TIME_STREAM])
-        self._scheduler_due = math.inf
+        self._next_tick_at = math.inf
 
     def run(self) -> Findings:
-        """Run until all requests are over, and return what was found."""
-        self._list_endpoints()
+        """Runs until all requests have ended; returns the findings."""
+        self._publish_endpoints()
         for fault in self._experiment.file.faults:
             self._schedule(fault.at_s, SpeedChange(fault.engine, fault.speed))
             self._schedule(fault.at_s + fault.seconds, SpeedChange(fault.engine, 1.0))
         arrivals = self._arrivals()
         arrival = next(arrivals, None)
         while arrival is not None or self._requests or self._running:
-            engine_due, engine = min(
+            engine_at, engine = min(
                 (model.next_completion_at(), number) for number, model in self._engines.items()
             )
-            event_due = self._events[0][0] if self._events else math.inf
-            arrival_due = arrival.due_s if arrival is not None else math.inf
-            self._now = max(self._now, min(engine_due, event_due, arrival_due, self._scheduler_due))
-            if engine_due <= self._now:
+            event_at = self._events[0][0] if self._events else math.inf
+            arrival_at = arrival.due_s if arrival is not None else math.inf
+            self._now = max(self._now, min(engine_at, event_at, arrival_at, self._next_tick_at))
+            if engine_at <= self._now:
                 self._finish_executions(engine)
-            elif event_due <= self._now:
+            elif event_at <= self._now:
                 self._handle(heapq.heappop(self._events)[2])
-            elif arrival is not None and arrival_due <= self._now:
+            elif arrival is not None and arrival_at <= self._now:
                 self._arrive(next(self._request_numbers), arrival)
                 arrival = next(arrivals, None)
             else:
@@ -190,7 +190,7 @@
 
     def _arrivals(self) -> Iterator[ScheduledRequest]:
         streams = [schedule(plan, self._experiment.folder) for plan in self._experiment.plans]
-        return heapq.merge(*streams, key=lambda due: due.due_s)
+        return heapq.merge(*streams, key=lambda scheduled: scheduled.due_s)
 
     def _schedule(self, at: float, event: ScheduledEvent) -> None:
         heapq.heappush(self._events, (at, next(self._event_ids), event))
@@ -200,14 +200,14 @@
         match event:
             case TimerDue():
                 self._route(TimerFired(event.token))
-            case CancelDue():
+            case AttemptCancelDue():
                 self._cancel_attempt(event.request)
-            case RequestOver():
+            case RequestEnded():
                 self._apply(self._scheduler.request_ended(self._now, event.request, event.execution_s))
             case SpeedChange():
                 self._change_speed(event)
 
-    def _list_endpoints(self) -> None:
+    def _publish_endpoints(self) -> None:
         entries = tuple(
             Endpoint(
                 number,
@@ -229,19 +229,21 @@
             for request in list(engine.executions):
                 del engine.executions[request]
                 self._end_attempt(request, AttemptResult.RESET)
-        self._list_endpoints()
+        self._publish_endpoints()
 
-    def _arrive(self, number: int, due: ScheduledRequest) -> None:
+    def _arrive(self, number: int, scheduled: ScheduledRequest) -> None:
         experiment = self._experiment
-        class_index = experiment.class_names.index(due.profile.class_name)
+        class_index = experiment.class_names.index(scheduled.profile.class_name)
         entry = experiment.file.classes[class_index]
         execution_s = entry.median_s * float(np.exp(entry.sigma * self._random.standard_normal()))
-        team = experiment.teams.team_of(due.profile.user.encode(), (), class_index, due.statement)
+        team = experiment.teams.team_of(scheduled.profile.user.encode(), (), class_index, scheduled.statement)
         deadline = self._now + entry.deadline_s
-        request = SimulatedRequest(due, class_index, team, self._now, deadline, execution_s)
+        request = SimulatedRequest(scheduled, class_index, team, self._now, deadline, execution_s)
         self._requests[number] = request
         self._findings.sent += 1
-        decisions = self._scheduler.enqueue(self._now, number, team, class_index, due.statement, deadline)
+        decisions = self._scheduler.enqueue(
+            self._now, number, team, class_index, scheduled.statement, deadline
+        )
         request.estimate = self._scheduler.wait_estimate(number) or request.estimate
         self._apply(decisions)
 
@@ -256,7 +258,7 @@
         duration_s = self._now - running.started_at
         request = self._requests.get(number)
         if request is not None:
-            request.ran_s += duration_s
+            request.executed_s += duration_s
         if result is AttemptResult.OK:
             self._end_request(number, SERVED)
         is_final = number not in self._requests
@@ -278,13 +280,13 @@
                 self._admit(decision.number)
             else:
                 self._reject(decision)
-        self._scheduler_due = self._scheduler.next_tick_at()
+        self._next_tick_at = self._scheduler.next_tick_at()
 
     def _reject(self, decision: RejectRequest) -> None:
         request = self._requests.pop(decision.number)
-        self._findings.outcomes[REFUSED_BY_TEAMS + decision.reason] += 1
+        self._findings.outcomes[REJECTED_BY_TEAMS + decision.reason] += 1
         minute = int(request.arrived_at // SECONDS_PER_MINUTE)
-        self._findings.minutes[request.team][minute].refused += 1
+        self._findings.minutes[request.team][minute].rejected += 1
 
     def _admit(self, number: int) -> None:
         request = self._requests[number]
@@ -304,11 +306,11 @@
                 case Forward(number, engine, _):
                     self._start_attempt(number, engine)
                 case Reject(number, _):
-                    self._end_request(number, REFUSED_BY_ROUTER)
+                    self._end_request(number, REJECTED_BY_ROUTER)
                 case Fail(number):
                     self._end_request(number, FAILED)
                 case CancelAttempt(number, _):
-                    self._schedule(self._now, CancelDue(number))
+                    self._schedule(self._now, AttemptCancelDue(number))
 
     def _start_attempt(self, number: int, engine_number: int) -> None:
         request = self._requests[number]
@@ -325,15 +327,15 @@
             return
         entry = self._experiment.file.classes[request.class_index]
         is_served = outcome == SERVED
-        ran_s = request.ran_s
+        executed_s = request.executed_s
         if number in self._running and not is_served:
-            ran_s += self._now - self._running[number].started_at
+            executed_s += self._now - self._running[number].started_at
         self._findings.outcomes[outcome] += 1
         minute = self._findings.minutes[request.team][int(request.admitted_at // SECONDS_PER_MINUTE)]
-        minute.used += entry.threads * ran_s
+        minute.thread_seconds += entry.threads * executed_s
         minute.served += is_served
-        minute.refused += not is_served
+        minute.rejected += not is_served
         if is_served:
             self._findings.latency[request.team, entry.name].append(self._now - request.arrived_at)
-        # Not within the router's own call: the scheduler may admit more at once.
-        self._schedule(self._now, RequestOver(number, ran_s if request.attempts else None))
+        # Deferred until the router's call returns, since the scheduler may admit requests immediately.
+        self._schedule(self._now, RequestEnded(number, executed_s if request.attempts else None))
--- a/lilacfront/load/accuracy.py
+++ b/lilacfront/load/accuracy.py
@@ -1,8 +1,8 @@
-"""Checks the latencies that the generator claims against those that a stand-in truly had.
+"""Compares the latencies that the generator reports with those computed from the log of a stand-in server.
 
-The truth is computed apart from the generator: the plan and its seed say when each request was due, the
-stand-in logged when it answered, both on the system's monotonic clock. The difference between the two
-processes (loopback, and the generator's own reading) is the error that is checked.
+The actual latencies are computed independently of the generator: the plan and its seed give the due time of
+each request, and the stand-in logs the time of each answer, both on the system's monotonic clock. The
+difference (loopback, and the time at which the generator reads an answer) is the error that is checked.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from lilacfront.load.result import Result
 from lilacfront.load.schedule import schedule
 
-MARGIN_MS = 2.0
+MARGIN_MS = 2.0  # allowed error, added to MARGIN_FRACTION of the actual latency
 MARGIN_FRACTION = 0.01
 MS_PER_S = 1000
-# Enough connections for the longest of the delays, so that no request waits for one.
+# The connections suffice for the longest delay of the stand-in, so that no request waits for a connection.
 MIN_HTTP_CONNECTIONS = 64
 MAX_DELAY_S = 0.06
 THRIFT_CONNECTIONS_PER_WORKER = 8
@@ -36,26 +36,32 @@
 
 
 class CheckError(LilacfrontError, RuntimeError):
-    """A check that could not be made."""
+    """A check failed to produce a comparison; the message says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class CheckedFigure:
-    """A percentile in milliseconds, as claimed by the generator and as it actually was."""
+    """A percentile in milliseconds: reported by the generator, and computed from the stand-in's log."""
 
     name: str
-    claimed: float
+    reported: float
     actual: float
 
     @property
-    def within(self) -> bool:
-        """Whether the claim is within the margin of error."""
-        return abs(self.claimed - self.actual) <= MARGIN_MS + MARGIN_FRACTION * self.actual
+    def is_within_margin(self) -> bool:
+        """Whether the reported value is within the margin of error."""
+        return abs(self.reported - self.actual) <= MARGIN_MS + MARGIN_FRACTION * self.actual
 
 
 @dataclass(slots=True, frozen=True)
 class CheckReport:
-    """The outcome of a check; `requests` is how many the stand-in answered."""
+    """The outcome of a check.
+
+    Attributes:
+        requests: The number of requests that the stand-ins answered.
+        figures: The compared percentiles.
+        result: The result of the generator.
+    """
 
     requests: int
     figures: list[CheckedFigure]
@@ -70,12 +76,12 @@
     Args:
         rate: Requests per second.
         seconds: Duration of the load.
-        workers: Processes of the generator, and as many stand-ins.
-        protocol: As in a plan's target.
-        stall_s: For how long the stand-ins stall, after a third of the load.
+        workers: The number of worker processes, and of stand-ins.
+        protocol: The protocol of the plan's target.
+        stall_s: The duration of a stall of the stand-ins, which begins after a third of the load.
 
     Raises:
-        CheckError: The generator and the stand-ins disagree on how many requests were served.
+        CheckError: The generator and the stand-ins count different numbers of served requests.
     """
     behaviour = f'protocol = "{protocol}"\ndelay = {{ shape = "lognormal", median_ms = 6.0, sigma = 0.5 }}\n'
     if stall_s:
@@ -86,9 +92,11 @@
         with StandInProcesses(behaviour.encode(), workers, folder) as servers:
             text = plan_text(rate, seconds, workers, protocol, servers.addresses)
             result = runs.run_plan(text, folder, folder / "run", [], start)
-        actual = true_latencies_ms(text, folder, servers.record_paths, start.begin)
+        actual = actual_latencies_ms(text, folder, servers.record_paths, start.begin)
     if len(actual) != result.outcomes["served"]:
-        raise CheckError(f"{result.outcomes['served']} requests claimed as served, {len(actual)} were")
+        raise CheckError(
+            f"the generator counts {result.outcomes['served']} served requests, the stand-ins {len(actual)}"
+        )
     figures = [
         CheckedFigure(name, result.latency_ms.intended[name] or 0.0, percentile(actual, percent))
         for name, percent in PERCENTILES.items()
@@ -97,12 +105,12 @@
 
 
 def percentile(ordered: Latencies, percent: float) -> float:
-    """Returns the value at the nearest rank, as HdrHistogram does."""
+    """Returns a percentile of ascending values by the nearest-rank method, as HdrHistogram does."""
     return float(ordered[max(0, int(len(ordered) * percent / 100 + 0.5) - 1)])
 
 
 def plan_text(rate: float, seconds: float, workers: int, protocol: str, addresses: list[str]) -> bytes:
-    """Returns the plan of a check."""
+    """Returns the plan of a check as TOML."""
     if protocol == "clickhouse":
         connections = max(MIN_HTTP_CONNECTIONS, int(rate * MAX_DELAY_S))
     else:
@@ -123,30 +131,37 @@
 """.encode()
 
 
-def true_latencies_ms(text: bytes, folder: Path, server_logs: list[Path], begin: float) -> Latencies:
-    """Returns the true latencies in milliseconds, ascending: from the due time to the stand-in's answer.
+def actual_latencies_ms(text: bytes, folder: Path, server_logs: list[Path], begin: float) -> Latencies:
+    """Returns the actual latencies in milliseconds, ascending: from the due time to the stand-in's answer.
 
     Args:
-        text: The plan.
-        folder: Of the plan.
-        server_logs: What the stand-ins wrote.
+        text: The plan as TOML.
+        folder: The directory of the plan.
+        server_logs: The log files of the stand-ins.
         begin: The start of the run on the system's monotonic clock.
     """
-    due = {request.number: request.due_s for request in schedule(parse(text, folder), folder)}
-    return latencies_ms(due, (line for path in server_logs for line in path.read_bytes().splitlines()), begin)
+    due_times = {request.number: request.due_s for request in schedule(parse(text, folder), folder)}
+    return latencies_ms(
+        due_times, (line for path in server_logs for line in path.read_bytes().splitlines()), begin
+    )
 
 
-def latencies_ms(due: dict[int, float], lines: Iterable[bytes], begin: float) -> Latencies:
-    """Returns the same from the due times, by number, and the lines of the stand-ins.
+def latencies_ms(due_times: dict[int, float], lines: Iterable[bytes], begin: float) -> Latencies:
+    """Returns the actual latencies in milliseconds, ascending, from due times and logged answers.
+
+    Args:
+        due_times: The due times in seconds after the start, by request number.
+        lines: The log lines of the stand-ins.
+        begin: The start of the run on the clock of the log.
 
     Raises:
         KeyError: A request was answered twice, or was not in the schedule.
     """
     decoder = msgspec.json.Decoder(RequestRecord)
-    unanswered = dict(due)
+    unanswered = dict(due_times)
     latencies = []
     for line in lines:
-        done = decoder.decode(line)
-        number = int(done.id.rpartition("-")[2]) if "-" in done.id else int(done.id[8:], 16)
-        latencies.append((done.ended_at - begin - unanswered.pop(number)) * MS_PER_S)
+        record = decoder.decode(line)
+        number = int(record.id.rpartition("-")[2]) if "-" in record.id else int(record.id[8:], 16)
+        latencies.append((record.ended_at - begin - unanswered.pop(number)) * MS_PER_S)
     return np.sort(np.array(latencies, dtype=np.float64))
--- a/lilacfront/load/cli.py
+++ b/lilacfront/load/cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront load`: run plans, import traces, report, check."""
+"""`lilacfront load`: runs plans, imports and exports traces, writes reports, checks the accuracy."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from lilacfront.load.trace_import import ImportTally, RequestFilter, SourceFormat, convert_traces
 from lilacfront.load.worker import Progress as RunProgress
 
-EXIT_OFF_MARGIN = 1
+EXIT_INACCURATE = 1
 EXIT_VOID = 3
 EXIT_INTERRUPTED = 130
 FORMAT_BY_SUFFIX: dict[str, SourceFormat] = {
@@ -41,12 +41,12 @@
 
 @click.group("load")
 def group() -> None:
-    """Send load that arrives on its own schedule, and measure latencies honestly."""
+    """Generate open-loop load and measure latencies without coordinated omission."""
 
 
 def summary(result: results.Result) -> Table:
-    """Returns the figures of a run for a terminal."""
-    table = Table(title="milliseconds from the intended sending", box=SIMPLE_HEAD, padding=0)
+    """Returns the figures of a run as a table for the terminal."""
+    table = Table(title="latency from the due time, ms", box=SIMPLE_HEAD, padding=0)
     table.add_column("class", overflow="fold")
     for name in SUMMARY_COLUMNS:
         table.add_column(name, justify="right", no_wrap=True)
@@ -70,21 +70,21 @@
         self._task = bar.add_task("load", total=1.0)
 
     def started(self, begin: float) -> None:
-        """Ignores the start: the bar moves with the first report."""
+        """Does nothing: the first progress report updates the bar."""
 
     def progressed(self, elapsed_s: float, planned_s: float, progress: RunProgress) -> None:
         """Shows the counts of all workers so far."""
         counts = ", ".join(f"{count} {name}" for name, count in progress.outcomes.items())
-        text = f"{progress.sent} sent, {progress.open} open, {counts or 'none ended'}"
+        text = f"{progress.sent} sent, {progress.open} open, {counts or 'none finished'}"
         completed = max(0.0, min(elapsed_s, planned_s))
         self._bar.update(self._task, total=planned_s, completed=completed, description=text)
 
 
 def run_and_print(text: bytes, folder: Path, out: Path, targets: list[str]) -> results.Result:
-    """Runs a plan with progress on a terminal, and prints what was measured.
+    """Runs a plan, shows a progress bar if stderr is a terminal, and prints the figures.
 
     Raises:
-        click.ClickException: The run could not be made.
+        click.ClickException: The run failed.
     """
     console = Console(stderr=True)
     try:
@@ -107,23 +107,23 @@
     click.echo(f"schedule lag p99 {lag['p99']} ms, max {lag['max']} ms; result in {path}")
     for name, count in result.checks.items():
         if count:
-            click.echo(f"{count} answers {name}")
+            click.echo(f"unexpected answers ({name}): {count}")
     if result.partial:
-        click.echo(f"PARTIAL: broken off; {result.unfinished} requests were still open")
+        click.echo(f"PARTIAL: ended early; {result.unfinished} requests were still open")
     for reason in result.void_reasons:
         click.echo(f"VOID: {reason}")
 
 
 @group.command()
 @click.argument("plan", type=_existing_file)
-@click.option("--out", required=True, type=_folder, help="A folder for the result; made if need be.")
+@click.option("--out", required=True, type=_folder, help="Directory for the result; created if missing.")
 @click.option(
-    "--target", "targets", multiple=True, metavar="HOST:PORT", help="In place of the plan's addresses."
+    "--target", "targets", multiple=True, metavar="HOST:PORT", help="Replaces the plan's addresses."
 )
 def run(plan: Path, out: Path, targets: tuple[str, ...]) -> None:
-    """Run PLAN and leave result.json in a folder.
+    """Run PLAN and write result.json to a directory.
 
-    Ends with 3 if the run is void (the generator itself could not keep up), with 130 if it was broken off.
+    The exit code is 3 if the run is void (the generator could not keep up) and 130 if it was interrupted.
     """
     result = run_and_print(plan.read_bytes(), plan.parent, out, list(targets))
     if result.is_void:
@@ -134,20 +134,32 @@
 
 @group.command("import")
 @click.argument("files", nargs=-1, required=True, type=_existing_file)
-@click.option("--out", required=True, type=_file, help="The trace to write.")
+@click.option("--out", required=True, type=_file, help="Trace file to write.")
 @click.option(
     "--form",
     type=click.Choice(["own", "json", "csv"]),
-    help="Our own JSON Lines, or the query log as JSONEachRow or CSVWithNames; by default as the files end.",
+    help="Trace (own), or query log as JSONEachRow or CSVWithNames; default: by file extension.",
 )
-@click.option("--speed", type=click.FloatRange(min=0, min_open=True), default=1.0, help="Divides all times.")
-@click.option("--user", "users", multiple=True, help="Keep requests of these users only.")
-@click.option("--class", "classes", multiple=True, help="Keep requests of these classes only.")
-@click.option("--match", help="Keep requests whose statement has this regular expression.")
-@click.option("--from", "begin", type=float, default=0.0, help="Keep from this second of each file on.")
-@click.option("--to", "end", type=float, default=float("inf"), help="Keep what comes before this second.")
-@click.option("--class-of", multiple=True, metavar="CLASS=PATTERN", help="Give this class to what matches.")
-@click.option("--overlay", is_flag=True, help="Files begin together; by default each follows the one before.")
+@click.option(
+    "--speed",
+    type=click.FloatRange(min=0, min_open=True),
+    default=1.0,
+    help="Factor that all times are divided by.",
+)
+@click.option("--user", "users", multiple=True, help="Keep only requests of this user; may be repeated.")
+@click.option("--class", "classes", multiple=True, help="Keep only requests of this class; may be repeated.")
+@click.option("--match", help="Keep only requests whose statement matches this regular expression.")
+@click.option("--from", "begin", type=float, default=0.0, help="Keep requests from this second of each file.")
+@click.option(
+    "--to", "end", type=float, default=float("inf"), help="Keep requests before this second of each file."
+)
+@click.option(
+    "--class-of",
+    multiple=True,
+    metavar="CLASS=PATTERN",
+    help="Set the class of unclassified requests that match.",
+)
+@click.option("--overlay", is_flag=True, help="Start all files at time 0 instead of one after another.")
 def import_(
     files: tuple[Path, ...],
     out: Path,
@@ -161,7 +173,7 @@
     class_of: tuple[str, ...],
     overlay: bool,
 ) -> None:
-    """Make a trace of recorded FILES. Unusable lines are counted and the first ones shown."""
+    """Convert recorded FILES to one trace. Unusable lines are counted; the first ones are shown."""
     tally = ImportTally()
     try:
         pattern = re.compile(match) if match else None
@@ -177,15 +189,17 @@
         raise click.ClickException(str(error)) from error
     _print_tally(tally, count)
     if not count:
-        raise click.ClickException("no request was taken")
+        raise click.ClickException("no request was imported")
 
 
 def _print_tally(tally: ImportTally, count: int) -> None:
-    click.echo(f"{tally.read} lines read, {count} requests taken, {tally.out_of_order} of them out of order")
-    for reason, lines in tally.left_out.most_common():
-        click.echo(f"{lines} left out: {reason}")
+    click.echo(
+        f"{tally.read} lines read, {count} requests imported, {tally.out_of_order} of them out of order"
+    )
+    for reason, lines in tally.skipped.most_common():
+        click.echo(f"{lines} skipped: {reason}")
     if tally.unusable:
-        click.echo(f"{tally.unusable} unusable; the first:")
+        click.echo(f"{tally.unusable} unusable lines; the first are:")
         for line in tally.shown_lines:
             click.echo(f"  {line}")
 
@@ -199,12 +213,12 @@
 
 @group.command()
 @click.argument("run", type=_existing_folder)
-@click.option("--out", required=True, type=_file, help="The trace to write.")
+@click.option("--out", required=True, type=_file, help="Trace file to write.")
 def export(run: Path, out: Path) -> None:
-    """Write a finished RUN's requests as a trace that replays.
+    """Write the requests of a finished RUN as a trace.
 
-    One seed gives one schedule, so it is made anew from the plan that the run left.
-    A plan that replays a trace needs that trace's file beside the run's plan.toml.
+    The schedule is generated again from the seed in the run's plan.toml.
+    If the plan replays a trace, that trace file must be in the directory of the run.
     """
     try:
         result, _ = results.read_result(run)
@@ -229,9 +243,11 @@
 
 @group.command()
 @click.argument("runs", nargs=-1, required=True, type=_existing_folder)
-@click.option("--out", type=_file, help="By default report.html in the first.")
+@click.option(
+    "--out", type=_file, help="HTML file to write; default: report.html in the first run's directory."
+)
 def report(runs: tuple[Path, ...], out: Path | None) -> None:
-    """Write an HTML report of one run, or of several beside each other."""
+    """Write an HTML report on one run, or compare several runs with the first."""
     out = out or runs[0] / "report.html"
     try:
         reports.write_report(list(runs), out)
@@ -250,41 +266,41 @@
     "--protocol", type=click.Choice(["clickhouse", "platform"]), default="clickhouse", show_default=True
 )
 @click.option(
-    "--stall", type=click.FloatRange(min=0), default=0.0, help="Seconds for which the stand-in stalls."
+    "--stall", type=click.FloatRange(min=0), default=0.0, help="Seconds for which the stand-ins stall."
 )
 def check_(rates: tuple[float, ...], seconds: float, workers: int, protocol: str, stall: float) -> None:
-    """Hold the generator's claims against the truth of a stand-in with known delays.
+    """Compare reported latencies with those logged by a stand-in server.
 
-    Ends with 1 where p50, p90, p99 or p999 is off by more than 2 ms + 1%, with 3 where a run was void.
+    The exit code is 1 if p50, p90, p99 or p999 differs by more than 2 ms + 1%, and 3 if a run was void.
     """
-    table = Table(title="claimed against true, milliseconds from the intended sending")
-    for name in ("rate", "requests", "figure", "claimed", "true", "off by", ""):
+    table = Table(title="reported and actual latency from the due time, ms")
+    for name in ("rate", "requests", "figure", "reported", "actual", "difference", ""):
         table.add_column(name, justify="right")
-    reports_of_rates = []
+    check_reports = []
     for rate in rates:
         try:
-            report_of_rate = check_accuracy(rate, seconds, workers, protocol, stall)
+            check_report = check_accuracy(rate, seconds, workers, protocol, stall)
         except (CheckError, runs.RunError, OSError) as error:
             raise click.ClickException(str(error)) from error
-        _add_check_rows(table, rate, report_of_rate)
-        reports_of_rates.append(report_of_rate)
+        _add_check_rows(table, rate, check_report)
+        check_reports.append(check_report)
     Console().print(table)
-    if any(checked.result.is_void for checked in reports_of_rates):
+    if any(check_report.result.is_void for check_report in check_reports):
         sys.exit(EXIT_VOID)
-    if not all(figure.within for checked in reports_of_rates for figure in checked.figures):
-        sys.exit(EXIT_OFF_MARGIN)
+    if not all(figure.is_within_margin for check_report in check_reports for figure in check_report.figures):
+        sys.exit(EXIT_INACCURATE)
 
 
-def _add_check_rows(table: Table, rate: float, checked: CheckReport) -> None:
-    for figure in checked.figures:
+def _add_check_rows(table: Table, rate: float, check_report: CheckReport) -> None:
+    for figure in check_report.figures:
         table.add_row(
             f"{rate:g}",
-            str(checked.requests),
+            str(check_report.requests),
             figure.name,
-            f"{figure.claimed:.3f}",
+            f"{figure.reported:.3f}",
             f"{figure.actual:.3f}",
-            f"{figure.claimed - figure.actual:+.3f}",
-            "ok" if figure.within else "OFF",
+            f"{figure.reported - figure.actual:+.3f}",
+            "ok" if figure.is_within_margin else "INACCURATE",
         )
-    lag_p99 = f"{checked.result.schedule_lag_ms['p99']}"
-    table.add_row(f"{rate:g}", "", "lag p99", lag_p99, "", "", "VOID" if checked.result.is_void else "")
+    lag_p99 = f"{check_report.result.schedule_lag_ms['p99']}"
+    table.add_row(f"{rate:g}", "", "lag p99", lag_p99, "", "", "VOID" if check_report.result.is_void else "")
--- a/lilacfront/load/client_codecs.py
+++ b/lilacfront/load/client_codecs.py
@@ -1,7 +1,7 @@
-"""What every client codec offers: requests as bytes, answers as values, free of input and output.
+"""The interface of client codecs, which encode requests and parse answers without I/O.
 
-A `ClientCodec` belongs to one connection and knows the requests that are open on it. Answers to no open
-request are reported as `StrayAnswer`.
+A `ClientCodec` belongs to one connection and tracks its open requests. An answer that matches no open request
+is reported with a `StrayAnswer`.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 SERVED = AttemptResult(AttemptEnd.SERVED)
 WRONG = AttemptResult(AttemptEnd.WRONG)
-MAX_REMEMBERED_REQUESTS = 4096  # of a connection: ended requests, to tell late answers from unknown ones
+MAX_REMEMBERED_REQUESTS = 4096  # ended requests per connection, to tell late answers from unknown ones
 
 
 class ClientProtocolError(LilacfrontError, ValueError):
-    """The peer sent what can't be parsed; the connection can't be used any more."""
+    """The peer violated the protocol; the connection can't be used any more."""
 
 
 class StrayAnswer(Enum):
-    """Why an answer belongs to no open request."""
+    """Why an answer matches no open request."""
 
-    LATE = auto()  # its request had timed out
-    DUPLICATE = auto()  # its request had an answer
-    UNKNOWN = auto()  # it has no request
+    LATE = auto()  # the request had timed out
+    DUPLICATE = auto()  # the request was already answered
+    UNKNOWN = auto()  # no such request is known
 
 
 @dataclass(slots=True)
@@ -36,9 +36,9 @@
     """A complete answer.
 
     Attributes:
-        number: The number of its request; None for a stray answer.
-        result: How the attempt ended.
-        stray: Why it has no open request; None if it has one.
+        number: The number of the request; None for a stray answer.
+        result: The result of the attempt.
+        stray: Why the answer matches no open request; None if it matches one.
     """
 
     number: int | None
@@ -47,7 +47,7 @@
 
 
 class ClientCodec(Protocol):
-    """The client's side of one connection.
+    """The client side of the protocol on one connection.
 
     Attributes:
         open_requests: The requests without an answer, by number.
@@ -57,12 +57,12 @@
 
     @property
     def capacity(self) -> int:
-        """How many more requests may be sent now."""
+        """The number of further requests that may be sent now."""
         ...
 
     @property
     def closing(self) -> bool:
-        """Whether the peer closes the connection after the open requests."""
+        """Whether the connection is closed once the open requests have ended."""
         ...
 
     def request(self, number: int, profile: RequestProfile, statement: bytes, ttl_s: float) -> bytes:
@@ -73,7 +73,7 @@
         """Cancels an open request.
 
         Returns:
-            The bytes that tell the peer; None where only closing the connection does.
+            The message to send to the peer; None if a cancellation requires closing the connection.
         """
         ...
 
@@ -81,7 +81,7 @@
         """Parses received bytes.
 
         Raises:
-            ClientProtocolError: The bytes are not of this protocol.
+            ClientProtocolError: The bytes violate the protocol.
         """
         ...
 
--- a/lilacfront/load/codecs.py
+++ b/lilacfront/load/codecs.py
@@ -1,4 +1,4 @@
-"""The codec of each protocol that a plan may name."""
+"""Selects the client codec for the protocol of a plan."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def codec_factory(plan: Plan, run: str) -> CodecFactory:
-    """Returns what makes the codec of a new connection.
+    """Returns a function that creates the codec of a new connection.
 
     Args:
-        plan: Its target names the protocol.
-        run: Eight hex digits that distinguish the requests of this run from those of others.
+        plan: The plan; its target names the protocol.
+        run: Eight hex digits in the ids of all requests of this run, to tell them from those of other runs.
     """
 
     def thrift_codec(_: Address) -> ClientCodec:
--- a/lilacfront/load/compare.py
+++ b/lilacfront/load/compare.py
@@ -1,7 +1,7 @@
-"""Whether two runs differ by more than chance: bootstrap confidence intervals, without input or output.
+"""Compares two runs with bootstrap confidence intervals. Performs no I/O.
 
-Requests of one second share what happened in it, so whole seconds are resampled, not requests (a block
-bootstrap; Künsch 1989). There is no warm-up: the first seconds, in which connections are opened, count too.
+Requests of the same second are correlated, so whole seconds are resampled instead of requests (block
+bootstrap; Künsch 1989). No warm-up is excluded: the first seconds, when connections are opened, count too.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 Floats = NDArray[np.float64]
 BOOTSTRAP_RESAMPLES = 1000
 CONFIDENCE_LEVEL = 0.95
-MIN_SECONDS = 10  # with fewer, nothing is said about chance
+MIN_SECONDS = 10  # the shortest run whose significance is reported
 QUANTILES = {"p50": 0.5, "p90": 0.9, "p99": 0.99, "p999": 0.999}
 
 
 @dataclass(slots=True, frozen=True)
 class Interval:
-    """A figure, and its 95% confidence interval."""
+    """A figure with its 95% confidence interval."""
 
     value: float
     low: float
@@ -34,17 +34,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Difference:
-    """How much larger the second run's figure is than the first's."""
+    """The difference between two runs in one figure; `change` is second minus first."""
 
-    name: str  # "p50" ... in milliseconds, or an outcome's share of all requests
+    name: str  # a percentile in milliseconds ("p50", ...), or an outcome, as a fraction of all requests
     first: Interval
     second: Interval
     change: Interval
-    verdict: str  # "more than chance" or what else can be said
+    verdict: str  # whether the change is significant, as text
 
 
 class Sample:
-    """The seconds of one run as counts: latencies by histogram slot, and outcomes."""
+    """The measurements of one run as arrays, a row per second: counts by histogram slot and by outcome."""
 
     def __init__(self, seconds: list[Second]) -> None:
         histograms: list[Any] = [
@@ -70,7 +70,7 @@
         """Returns percentiles (ms) and outcome fractions, one value for each row of `weights`.
 
         Args:
-            weights: How often each second (column) is in each resample (row).
+            weights: The number of times that each second (column) occurs in each resample (row).
         """
         figures: dict[str, Floats] = {}
         cumulative = np.cumsum(weights @ self.slots, axis=1)
@@ -89,7 +89,7 @@
 
 
 def confidence_intervals(seconds: list[Second], seed: int = 0) -> dict[str, Interval]:
-    """Returns the interval of each figure of a run; empty for a run without seconds."""
+    """Returns the interval of each figure of a run; empty for a run without measurements."""
     sample = Sample(seconds)
     if not len(sample):
         return {}
@@ -98,7 +98,7 @@
 
 
 def compare_runs(first: list[Second], second: list[Second], seed: int = 0) -> list[Difference]:
-    """Returns how each figure of the second run differs from the first; empty if one has no seconds."""
+    """Returns the difference in each figure; empty if one of the runs has no measurements."""
     first_sample = Sample(first)
     second_sample = Sample(second)
     shorter = min(len(first_sample), len(second_sample))
@@ -120,16 +120,16 @@
 
 def _verdict(change: Interval, seconds: int) -> str:
     if seconds < MIN_SECONDS:
-        return f"fewer than {MIN_SECONDS} seconds: nothing can be said"
+        return f"not compared: fewer than {MIN_SECONDS} seconds"
     if change.low == change.high == 0:
-        return "the same"
+        return "no difference"
     if change.low > 0 or change.high < 0:
-        return "more than chance"
-    return "may be chance"
+        return "significant"
+    return "not significant"
 
 
 def _resample_weights(count: int, rng: np.random.Generator) -> Floats:
-    """Draws how often each second is in each resample; the first row is the run as it was."""
+    """Draws the weights of the resamples; the first row, all ones, is the original run."""
     drawn = rng.multinomial(count, np.full(count, 1 / count), size=BOOTSTRAP_RESAMPLES).astype(np.float64)
     return np.vstack([np.ones((1, count)), drawn])
 
--- a/lilacfront/load/connection.py
+++ b/lilacfront/load/connection.py
@@ -1,4 +1,4 @@
-"""One connection of the load generator: a reader in a task of its own, writes from whoever sends."""
+"""One connection of the load generator. Its own task reads; writes are made in the task of the sender."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lilacfront.load.schedule import ScheduledRequest
 from lilacfront.sched import Chunk, Stream, Task, Wait
 
-IDLE_TIMEOUT_S = 3600.0  # of a read; requests have deadlines of their own
+IDLE_TIMEOUT_S = 3600.0  # limits one read; requests have their own deadlines
 
 
 @dataclass(slots=True, eq=False)
@@ -17,9 +17,10 @@
     """A request without a final outcome. Times are seconds after the start of the run.
 
     Attributes:
-        sent_at: When its last attempt was sent.
-        connection: Where an attempt is in flight.
-        chunk: The bytes of that attempt, as far as they have left.
+        sent_at: The time at which the last attempt was sent.
+        connection: The connection of the attempt in flight; None if there is none.
+        chunk: The written bytes of that attempt; shows how many have been sent.
+        finished: Whether the request has its final outcome.
     """
 
     scheduled: ScheduledRequest
@@ -32,25 +33,30 @@
 
 
 class ConnectionListener(Protocol):
-    """What a connection reports to its pool."""
+    """Receives the events of a connection."""
 
     def answer_received(self, connection: LoadConnection, answer: Answer) -> None:
-        """A complete answer has come."""
+        """Handles a complete answer."""
         ...
 
     def connection_closed(self, connection: LoadConnection) -> None:
-        """The connection has ended, and with it all attempts that are in flight on it."""
+        """Handles the end of the connection and of all attempts in flight on it."""
         ...
 
 
 class LoadConnection:
-    """A connection with its codec and the requests that are in flight on it, by number."""
+    """A connection with its codec and the requests that are in flight on it.
+
+    Attributes:
+        open_requests: The requests in flight, by number.
+        is_listed: Whether the pool's queue of available connections contains the connection.
+    """
 
     def __init__(self, listener: ConnectionListener, stream: Stream, codec: ClientCodec) -> None:
         self.stream = stream
         self.codec = codec
         self.open_requests: dict[int, OpenRequest] = {}
-        self.is_listed = False  # among the pool's connections with capacity
+        self.is_listed = False
         self._listener = listener
 
     @property
@@ -85,10 +91,10 @@
         request.chunk = self.stream.write(data)
 
     def cancel(self, request: OpenRequest) -> bool:
-        """Cancels an attempt that is in flight here; closes the connection if that is the only way.
+        """Cancels an attempt in flight on this connection; closes the connection if the protocol requires it.
 
         Returns:
-            Whether the connection can be used further.
+            Whether the connection can still be used.
         """
         number = request.scheduled.number
         del self.open_requests[number]
--- a/lilacfront/load/connection_pool.py
+++ b/lilacfront/load/connection_pool.py
@@ -1,6 +1,6 @@
-"""The connection pool of a worker: gives requests to connections, opened as they are needed.
+"""The connection pool of a worker: assigns requests to connections and opens connections on demand.
 
-A request without a free connection waits, while its latency from the due time grows.
+A request without an available connection waits in a queue; the wait is part of its latency.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from lilacfront.load.retry_policy import AttemptEnd, AttemptResult
 from lilacfront.sched import Loop, Stream, Task
 
-MAX_QUEUED_BYTES = 4 << 20  # that a connection has not sent yet
+MAX_QUEUED_BYTES = 4 << 20  # write buffer of a connection
 
 Address = tuple[str, int]
 CodecFactory = Callable[[Address], ClientCodec]
 
 
 class AttemptListener(Protocol):
-    """The owner of a pool, who decides what follows an attempt."""
+    """The owner of a pool; decides on retries."""
 
     def now(self) -> float:
-        """Returns the time in seconds after the start of the run."""
+        """Returns the seconds since the start of the run."""
         ...
 
     def attempt_ended(self, request: OpenRequest, result: AttemptResult) -> None:
-        """An attempt has ended."""
+        """Handles the end of an attempt."""
         ...
 
 
@@ -39,9 +39,9 @@
     """The limits of a pool.
 
     Attributes:
-        max_connections: Connections that are open or being opened.
-        max_waiting: Requests that may wait for a connection.
-        first_address: Index of the address that the first connection goes to; the others follow in turn.
+        max_connections: The largest number of connections, including those being opened.
+        max_waiting: The largest number of requests that wait for a connection.
+        first_address: The index of the first connection's address; later ones use the addresses round robin.
     """
 
     addresses: list[Address]
@@ -52,11 +52,12 @@
 
 
 class ConnectionPool:
-    """The connections of one worker and the requests that wait for one.
+    """The connections of one worker and the queue of requests that wait for a connection.
 
     Attributes:
-        connecting: Connections that are being opened.
-        in_flight: Attempts that were given to a connection and have not ended.
+        connections: The open connections.
+        connecting: The number of connections that are being opened.
+        in_flight: The number of attempts that were sent on a connection and have not ended.
     """
 
     def __init__(
@@ -80,13 +81,13 @@
         self._waiting: deque[OpenRequest] = deque()
 
     def submit(self, request: OpenRequest) -> bool:
-        """Sends a request, or has it wait for a connection.
+        """Sends a request, or queues it connect_deadline a connection is available.
 
         Returns:
-            False if too many requests wait, so that the memory stays bounded against a target that accepts
-            nothing; the request is not taken then.
+            False if the queue is full and the request was dropped. The limit bounds the memory if the target
+            accepts no connections.
         """
-        if not self._waiting and (connection := self._next_available()) is not None:
+        if not self._waiting and (connection := self._first_available()) is not None:
             self._send(connection, request)
             return True
         if len(self._waiting) >= self._settings.max_waiting:
@@ -97,7 +98,7 @@
         return True
 
     def cancel(self, request: OpenRequest) -> None:
-        """Cancels the attempt of a request, if one is in flight."""
+        """Cancels the attempt of a request if one is in flight."""
         connection = request.connection
         if connection is None:
             return
@@ -106,7 +107,7 @@
             self._add_available(connection)
 
     def answer_received(self, connection: LoadConnection, answer: Answer) -> None:
-        """Implements ConnectionListener."""
+        """Ends the attempt that an answer belongs to. Implements ConnectionListener."""
         if answer.number is None:
             self._count_stray(answer.stray)
             return
@@ -119,7 +120,10 @@
             self._add_available(connection)
 
     def connection_closed(self, connection: LoadConnection) -> None:
-        """Implements ConnectionListener: attempts on it may have been executed, unless no byte had left."""
+        """Ends the attempts in flight on a closed connection. Implements ConnectionListener.
+
+        An attempt may have been executed unless none of its bytes had been sent.
+        """
         self.connections.discard(connection)
         requests = list(connection.open_requests.values())
         connection.open_requests = {}
@@ -141,34 +145,34 @@
         addresses = self._settings.addresses
         address = addresses[self._next_address % len(addresses)]
         self._next_address += 1
-        until = self._loop.now + self._settings.connect_timeout_s
-        stream = Stream.connect(self._loop, task, address, until, MAX_QUEUED_BYTES)
+        connect_deadline = self._loop.now + self._settings.connect_timeout_s
+        stream = Stream.connect(self._loop, task, address, connect_deadline, MAX_QUEUED_BYTES)
         self.connecting -= 1
         if not isinstance(stream, Stream):
-            self._fail_next_waiting()
+            self._fail_first_waiting()
             return
         connection = LoadConnection(self, stream, self._codec_factory(address))
         self.connections.add(connection)
         self._add_available(connection)
         connection.read(task)
 
-    def _fail_next_waiting(self) -> None:
-        """Fails the request that wanted the connection, as a client would; the others still wait."""
-        request = self._next_waiting()
+    def _fail_first_waiting(self) -> None:
+        """Fails the first waiting request after a failed connect; the others keep waiting."""
+        request = self._pop_waiting()
         if request is not None:
             request.attempts += 1
             request.sent_at = self._listener.now()
             self._counters.attempts += 1
             self._listener.attempt_ended(request, AttemptResult(AttemptEnd.UNSENT))
 
-    def _next_waiting(self) -> OpenRequest | None:
+    def _pop_waiting(self) -> OpenRequest | None:
         while self._waiting:
             request = self._waiting.popleft()
             if not request.finished:
                 return request
         return None
 
-    def _next_available(self) -> LoadConnection | None:
+    def _first_available(self) -> LoadConnection | None:
         while self._available:
             connection = self._available[0]
             if connection.is_available:
@@ -180,11 +184,11 @@
         if not connection.is_listed and not connection.stream.closed:
             connection.is_listed = True
             self._available.append(connection)
-        while (found := self._next_available()) is not None:
-            request = self._next_waiting()
+        while (available := self._first_available()) is not None:
+            request = self._pop_waiting()
             if request is None:
                 return
-            self._send(found, request)
+            self._send(available, request)
 
     def _send(self, connection: LoadConnection, request: OpenRequest) -> None:
         now = self._listener.now()
@@ -194,10 +198,10 @@
         self.in_flight += 1
         connection.send(request, now)
         if not connection.codec.capacity:
-            # No other request can join it on this connection, so it need not wait for the end of the turn.
+            # No further request can share the write, so flushes before the end of the loop's turn.
             connection.stream.flush()
             connection.is_listed = False
-            # Usually at the front, where `_next_available` found it.
+            # Usually the connection is the first, where `_first_available` found it.
             if self._available and self._available[0] is connection:
                 self._available.popleft()
             else:
--- a/lilacfront/load/histogram.py
+++ b/lilacfront/load/histogram.py
@@ -1,4 +1,4 @@
-"""Latency histograms: HdrHistogram's, in microseconds, to three significant digits, up to an hour."""
+"""Latency histograms: HdrHistogram in microseconds with three significant digits, up to one hour."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 MAX_LATENCY_US = 3_600_000_000
 US_PER_MS = 1000
 SIGNIFICANT_DIGITS = 3
-BUCKET_BITS = 11  # 2,048 values in a bucket of HdrHistogram for three digits
+BUCKET_BITS = 11  # HdrHistogram uses buckets of 2,048 slots for three digits
 PERCENTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9}
 
-BucketCounts = dict[int, int]  # by the lowest value of a histogram's slot, in microseconds
+BucketCounts = dict[int, int]  # counts by the lowest value of a histogram slot, in microseconds
 
 
 def new_histogram() -> Any:
@@ -22,19 +22,19 @@
 
 
 def record_latency(counts: BucketCounts, seconds: float) -> None:
-    """Counts a latency in the slot in which HdrHistogram's `record_value` would, in half the time.
+    """Counts a latency in the same slot as HdrHistogram's `record_value`, in half the time.
 
     The buckets of a histogram double in width and have 2,048 slots each, so the lowest value of a slot is
-    the value with all bits but the first eleven cleared. Values outside the range count at its edge.
+    the value with all bits but the first eleven cleared. Values outside the range are clamped to it.
     """
     value = min(MAX_LATENCY_US, max(1, round(seconds * 1e6)))
-    if (spare_bits := value.bit_length() - BUCKET_BITS) > 0:
-        value = value >> spare_bits << spare_bits
+    if (dropped_bits := value.bit_length() - BUCKET_BITS) > 0:
+        value = value >> dropped_bits << dropped_bits
     counts[value] = counts.get(value, 0) + 1
 
 
 def encode_histogram(counts: BucketCounts) -> str:
-    """Encodes the counts as a histogram in HdrHistogram's V2 encoding and base64."""
+    """Encodes the counts as a histogram, in HdrHistogram's V2 encoding and base64."""
     histogram = new_histogram()
     for value, count in counts.items():
         histogram.record_value(value, count)
--- a/lilacfront/load/http_codec.py
+++ b/lilacfront/load/http_codec.py
@@ -1,4 +1,4 @@
-"""The client's side of ClickHouse's HTTP interface: one open request at a time, its number in its id."""
+"""The client side of ClickHouse's HTTP interface: one open request, its number is part of its query id."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 from lilacfront.protocols import http1
 
 MAX_RESULT_BYTES = 64 << 20  # a longer result is a protocol error
-MAX_COMPARED_BYTES = 1 << 20  # of a result that are kept, to compare it with the expected one
+MAX_COMPARED_BYTES = 1 << 20  # the part of a result that is kept for the comparison with the expected one
 STATUS_OK = 200
 STATUS_TOO_MANY_REQUESTS = 429
 OVERLOAD_EXCEPTION_CODES = (b"202", b"745")  # TOO_MANY_SIMULTANEOUS_QUERIES, SERVER_OVERLOADED
-USER_SAFE_CHARACTERS = " !#$&'()*+,/:;=?@[]"  # sent unquoted in a header
+USER_SAFE_CHARACTERS = " !#$&'()*+,/:;=?@[]"  # not percent-encoded in a header
 _RETRY_AFTER = re.compile(rb"\d{1,6}\Z")
 
 
 class HttpClientCodec:
-    """The codec of one connection; `passwords` returns the password of an environment variable's name."""
+    """The codec of one connection; `passwords` maps the name of an environment variable to a password."""
 
     def __init__(self, host: str, run: str, passwords: Callable[[str], str]) -> None:
         self.open_requests: dict[int, RequestProfile] = {}
@@ -46,12 +46,12 @@
 
     @property
     def capacity(self) -> int:
-        """How many more requests may be sent now."""
+        """The number of further requests that may be sent now."""
         return 0 if self.open_requests or self._closing else 1
 
     @property
     def closing(self) -> bool:
-        """Whether the connection ends after the open request."""
+        """Whether the connection is closed once the open request has ended."""
         return self._closing
 
     def request(self, number: int, profile: RequestProfile, statement: bytes, ttl_s: float) -> bytes:
@@ -74,7 +74,7 @@
         )
 
     def cancel(self, number: int) -> bytes | None:
-        """Cancels the open request; the connection must be closed for it."""
+        """Cancels the open request; the caller must close the connection."""
         self.open_requests.pop(number, None)
         self._closing = True
         return None
@@ -111,7 +111,7 @@
                 case http1.Body(data):
                     self._body_bytes += len(data)
                     if self._body_bytes > MAX_RESULT_BYTES:
-                        raise ClientProtocolError(f"a result of over {MAX_RESULT_BYTES} bytes")
+                        raise ClientProtocolError(f"result is longer than {MAX_RESULT_BYTES} bytes")
                     if len(self._body) < MAX_COMPARED_BYTES:
                         self._body += data
                 case http1.End():
--- a/lilacfront/load/measurements.py
+++ b/lilacfront/load/measurements.py
@@ -1,4 +1,4 @@
-"""What workers measure: messages from worker to parent, and the seconds that they write to files."""
+"""The measurements of workers: the message to the parent process, and the figures by second in files."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 
 class OutcomeGroup(msgspec.Struct):
-    """The requests of one class with one outcome; both histograms are encoded.
+    """The requests of one class with one outcome.
 
     Attributes:
-        intended: Latencies from the due time.
-        actual: Latencies from the last attempt.
+        count: The number of requests.
+        intended: The encoded histogram of latencies from the due time.
+        actual: The encoded histogram of latencies from the last attempt.
     """
 
     class_name: str = field(name="cls")
@@ -29,17 +30,17 @@
 
 
 class WorkerSecond(msgspec.Struct):
-    """What one worker measured of the requests that were due in one second of the run."""
+    """The measurements of one worker for the requests that were due in one second of the run."""
 
     second: int
     sent: int = 0
     outcomes: dict[str, int] = {}
-    intended: BucketCounts = {}  # of all outcomes
+    intended: BucketCounts = {}  # latencies from the due time, for all outcomes
     lag_ms: float = 0.0  # the largest schedule lag
 
 
 class Second(msgspec.Struct):
-    """The same of all workers, with an encoded histogram."""
+    """The sum of the `WorkerSecond` of all workers, with an encoded histogram."""
 
     second: int
     sent: int
@@ -49,17 +50,19 @@
 
 
 class Counters(msgspec.Struct):
-    """Counts over a whole run; the last four are answers that should not have come, or not like this."""
+    """Counts over a whole run; the last four count unexpected answers."""
 
     sent: int = 0
     attempts: int = 0
     answered: int = 0
     unfinished: int = 0  # still open when the run was interrupted
     overflowed: int = 0  # dropped because too many requests waited for a connection
-    late_answers: int = field(default=0, name="late")  # after their request had timed out
-    duplicate_answers: int = field(default=0, name="second")
+    late_answers: int = field(default=0, name="late")  # arrived after the timeout of their request
+    duplicate_answers: int = field(default=0, name="second")  # to a request that was already answered
     unknown_answers: int = field(default=0, name="unknown")  # to no request of this connection
-    wrong_answers: int = field(default=0, name="wrong")  # of another request, or not the expected result
+    wrong_answers: int = field(
+        default=0, name="wrong"
+    )  # belong to another request, or differ from the expected result
 
     def add(self, other: Counters) -> None:
         """Adds the counts of another worker."""
@@ -67,7 +70,7 @@
             setattr(self, name, getattr(self, name) + getattr(other, name))
 
     def checks(self) -> dict[str, int]:
-        """Returns the counts of answers that should not have come, by their names in results."""
+        """Returns the counts of unexpected answers, by their names in results."""
         return {
             "late": self.late_answers,
             "second": self.duplicate_answers,
@@ -77,18 +80,18 @@
 
 
 class WorkerMeasurements(msgspec.Struct, tag="Measured"):
-    """All that one worker measured, except its seconds, which are in a file."""
+    """All measurements of one worker except those by second, which are in a file."""
 
     rank: int
     counters: Counters
     groups: list[OutcomeGroup]
-    lag: str  # histogram of the schedule lag, encoded
-    memory_kb: list[int]  # resident, sampled at regular times
-    ended_at: float  # seconds after the start
+    lag: str  # the encoded histogram of the schedule lag
+    memory_kb: list[int]  # resident memory, sampled at regular intervals
+    ended_at: float  # seconds after the start of the run
 
 
 def merge_seconds(parts: list[Iterable[bytes]]) -> Iterator[Second]:
-    """Merges the lines of all workers' files of seconds; yields each second once, in order."""
+    """Merges the workers' files of `WorkerSecond` lines; yields each second once, in order."""
     decoder = msgspec.json.Decoder(WorkerSecond)
     merged: dict[int, WorkerSecond] = {}
     for part in parts:
--- a/lilacfront/load/phases.py
+++ b/lilacfront/load/phases.py
@@ -1,7 +1,7 @@
-"""The phases of a load plan: each describes how the arrival rate changes over its duration.
+"""The phases of a load plan; each describes the arrival rate over its duration.
 
-Every shape but a replayed trace becomes a `RateProfile`, a piecewise linear rate from which `schedule.py`
-derives the arrivals. The field names of TOML are mapped with `field(name=...)`.
+Every shape except a replayed trace is converted to a `RateProfile`, a piecewise linear rate from which
+`schedule.py` derives the arrivals. `field(name=...)` maps settings whose name differs from the attribute.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class PlanError(SettingsError):
-    """A load plan that can't be used; the message begins with the key of the faulty setting."""
+    """An invalid load plan; the message begins with the key of the invalid setting."""
 
 
 class RatePoint(NamedTuple):
@@ -36,16 +36,16 @@
     rate: float
 
 
-# Ordered by time: linear between two points; two points at the same time are a jump.
+# Points ordered by time. The rate is linear between two points; two points at the same time are a step.
 RateProfile = tuple[RatePoint, ...]
 
 
 class _Phase(msgspec.Struct, forbid_unknown_fields=True, tag_field="shape", kw_only=True):
-    arrivals: Literal["poisson", "even"] | None = None  # None: as the plan says
+    arrivals: Literal["poisson", "even"] | None = None  # None: as in the plan
 
 
 class ConstantPhase(_Phase, tag="constant"):
-    """The same rate throughout."""
+    """A constant rate."""
 
     rate: RatePerSecond
     seconds: PhaseSeconds
@@ -56,7 +56,7 @@
 
 
 class StepPhase(_Phase, tag="step"):
-    """From `rate` to `final_rate` in `steps` equal steps, the first at `rate`, the last at `final_rate`."""
+    """`steps` constant rates of equal duration, evenly spaced from `rate` to `final_rate`."""
 
     rate: RatePerSecond
     final_rate: RatePerSecond = field(name="to")
@@ -71,7 +71,7 @@
 
 
 class RampPhase(_Phase, tag="ramp"):
-    """Linearly from `rate` to `final_rate`."""
+    """A linear change from `rate` to `final_rate`."""
 
     rate: RatePerSecond
     final_rate: RatePerSecond = field(name="to")
@@ -83,7 +83,7 @@
 
 
 class BurstPhase(_Phase, tag="burst"):
-    """At `rate`, but at `burst_rate` during the first `burst_s` seconds of each `period_s`."""
+    """Bursts at `burst_rate` in the first `burst_s` seconds of each `period_s`; `rate` otherwise."""
 
     rate: RatePerSecond
     burst_rate: RatePerSecond
@@ -107,7 +107,7 @@
 
 
 class DailyPhase(_Phase, tag="daily"):
-    """A day's curve through `points` of clock time and rate, compressed into `seconds`.
+    """A daily rate curve, given as `points` of (time of day, rate) and compressed into `seconds`.
 
     The curve is periodic: the rate at midnight is interpolated between the last and the first point.
     """
@@ -119,13 +119,13 @@
         """Returns the points as (hour of the day, rate).
 
         Raises:
-            PlanError: A point is not a time of day or is not later than the one before it.
+            PlanError: A point has no valid time of day, or is not later than the previous point.
         """
         rates: list[tuple[float, float]] = []
         for n, (text, rate) in enumerate(self.points):
             hour = _hour_of_day(text, f"points[{n}]")
             if rates and hour <= rates[-1][0]:
-                raise PlanError(f"points[{n}]", f"{text!r} is not after the point before it")
+                raise PlanError(f"points[{n}]", f"{text!r} is not later than the previous point")
             rates.append((hour, rate))
         return rates
 
@@ -136,19 +136,19 @@
         last_hour, last_rate = rates[-1]
         gap_hours = first_hour + HOURS_PER_DAY - last_hour
         if gap_hours > 0:
-            midnight = last_rate + (first_rate - last_rate) * (HOURS_PER_DAY - last_hour) / gap_hours
-            inner = [point for point in rates if 0 < point[0] < HOURS_PER_DAY]
-            rates = [(0.0, midnight), *inner, (float(HOURS_PER_DAY), midnight)]
+            midnight_rate = last_rate + (first_rate - last_rate) * (HOURS_PER_DAY - last_hour) / gap_hours
+            inner_points = [point for point in rates if 0 < point[0] < HOURS_PER_DAY]
+            rates = [(0.0, midnight_rate), *inner_points, (float(HOURS_PER_DAY), midnight_rate)]
         return tuple(RatePoint(hour / HOURS_PER_DAY * self.seconds, rate) for hour, rate in rates)
 
 
 class TracePhase(_Phase, tag="trace"):
-    """Replays a recorded trace, its times divided by `speed`, for at most `seconds`."""
+    """A recorded trace, replayed with its times divided by `speed`, for at most `seconds`."""
 
     file: str
     speed: PositiveFloat = 1.0
     seconds: PhaseSeconds | None = None
-    class_name: str = field(default="", name="class")  # for requests of the trace without a class
+    class_name: str = field(default="", name="class")  # for requests that have no class in the trace
 
 
 Phase = ConstantPhase | StepPhase | RampPhase | BurstPhase | DailyPhase | TracePhase
@@ -158,5 +158,5 @@
     match = TIME_OF_DAY.match(text)
     hour = int(match[1]) + int(match[2]) / MINUTES_PER_HOUR if match is not None else None
     if hour is None or hour > HOURS_PER_DAY:
-        raise PlanError(key, f"{text!r} is not a time of day, as in '09:30'")
+        raise PlanError(key, f"{text!r} is not a time of day such as '09:30'")
     return hour
--- a/lilacfront/load/plan.py
+++ b/lilacfront/load/plan.py
@@ -1,7 +1,6 @@
-"""Load plans: which requests to send to which target, read from TOML and checked.
+"""Load plans: which requests to send to which target. Reads and validates plans in TOML.
 
-Every error names the faulty key. Names of settings that differ from the field are mapped with
-`field(name=...)`.
+Every error names the invalid key. `field(name=...)` maps settings whose name differs from the attribute.
 """
 
 from __future__ import annotations
@@ -23,15 +22,15 @@
     TracePhase,
 )
 
-# `{id}` is replaced by the generator; ClickHouse's own `{id:UInt32}` is left as it is.
+# The generator replaces `{id}`; ClickHouse's query parameters, such as `{id:UInt32}`, are not changed.
 PLACEHOLDER = re.compile(r"\{([A-Za-z_]\w*)\}")
 GROUP_PLACEHOLDER = "group"
-MAX_BURSTS = 100_000  # of one phase
+MAX_BURSTS = 100_000  # in one phase
 INTEGER_LIMIT = 1 << 62
 
 
 class Target(msgspec.Struct, forbid_unknown_fields=True):
-    """Where the requests go: `HOST:PORT` addresses and the protocol that is spoken there."""
+    """The addresses (`HOST:PORT`) that requests are sent to, and their protocol."""
 
     protocol: Literal["clickhouse", "platform"]
     addresses: Annotated[list[str], Meta(min_length=1)]
@@ -45,14 +44,14 @@
 
 
 class ZipfGroups(msgspec.Struct, forbid_unknown_fields=True):
-    """Groups 1 to `count`; group k is drawn in proportion to k to the power of minus `exponent`."""
+    """A Zipf distribution over groups 1 to `count`: the weight of group k is k ** -exponent."""
 
     exponent: Annotated[float, Meta(ge=0, le=10)]
     count: Annotated[int, Meta(ge=1, le=999_999)]
 
 
 class MixEntry(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """One type of request. `{group}` and `{NAME}` in the statement are replaced by drawn values."""
+    """One type of request. `{group}` and `{NAME}` in the statement are replaced by random values."""
 
     statement: str
     weight: Annotated[float, Meta(ge=0)] = 1.0
@@ -63,39 +62,41 @@
     groups: ZipfGroups | Annotated[list[int], Meta(min_length=1)] | None = None
     timeout_s: Annotated[float, Meta(gt=0, le=3600)] | None = None
     idempotent: bool | None = field(default=None, name="repeatable")  # None: derived from the statement
-    expected_result: str | None = field(default=None, name="expect")  # the complete result, where known
+    expected_result: str | None = field(default=None, name="expect")  # the complete result; None: not checked
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether the request may be executed more than once: as set, or because it only reads."""
+        """Whether the request may be executed more than once: as configured, or else if it only reads."""
         return is_read(self.statement.encode()) if self.idempotent is None else self.idempotent
 
 
 class ClientSettings(msgspec.Struct, forbid_unknown_fields=True):
-    """What a client does after an attempt without a result.
+    """How a client retries after an attempt without a result.
 
-    With `retry = "told"` a client waits for the Retry-After time of the answer.
+    `retry` is "never", "at_once" (without a delay) or "told" (after the Retry-After time of the answer).
     """
 
     retry: Literal["never", "at_once", "told"] = "never"
-    max_attempts: Annotated[int, Meta(ge=1, le=100)] = field(default=3, name="tries")  # with the first one
-    jitter: Annotated[float, Meta(ge=0, le=1)] = 0.2  # random fraction that is added to Retry-After
-    # Used with `told` where the answer has no Retry-After.
+    max_attempts: Annotated[int, Meta(ge=1, le=100)] = field(default=3, name="tries")  # including the first
+    jitter: Annotated[float, Meta(ge=0, le=1)] = (
+        0.2  # the largest random fraction that is added to the Retry-After time
+    )
+    # The delay for `told` if the answer has no Retry-After.
     default_retry_after_s: Annotated[float, Meta(ge=0, le=3600)] = field(default=0.5, name="wait_s")
     timeout_s: Annotated[float, Meta(gt=0, le=3600)] = 10.0
 
 
 class ValidityBounds(msgspec.Struct, forbid_unknown_fields=True):
-    """A run beyond these bounds is void: the generator itself could not keep up."""
+    """Limits of a valid run; a run that exceeds them is void, since the generator could not keep up."""
 
-    lag_p99_ms: PositiveFloat = 10.0
+    lag_p99_ms: PositiveFloat = 10.0  # schedule lag
     lag_max_ms: PositiveFloat = 500.0
-    # Requests that wait for a connection.
+    # The largest number of requests that wait for a connection.
     max_waiting: Annotated[int, Meta(ge=1, le=10_000_000)] = field(default=100_000, name="waiting")
 
 
 class Plan(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A complete load plan; phases run one after another."""
+    """A complete load plan; the phases run one after another."""
 
     target: Target
     phases: Annotated[list[Phase], Meta(min_length=1, max_length=1000)]
@@ -114,7 +115,7 @@
 
 
 def parse_address(text: str, key: str) -> tuple[str, int]:
-    """Parses `HOST:PORT`; `key` is the setting that a PlanError names."""
+    """Parses `HOST:PORT`; `key` is the key of the setting, for the PlanError of an invalid address."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise PlanError(key, f"{text!r} is not HOST:PORT")
@@ -122,14 +123,14 @@
 
 
 def parse(text: bytes, folder: Path = Path(".")) -> Plan:
-    """Decodes and checks a plan.
+    """Decodes and validates a plan.
 
     Args:
         text: The TOML document.
-        folder: Where the files that the plan names are, the folder of the plan itself.
+        folder: The directory of the plan; trace files are relative to it.
 
     Raises:
-        PlanError: The plan can't be used.
+        PlanError: The plan is invalid.
     """
     try:
         plan = msgspec.toml.decode(text, type=Plan)
@@ -145,7 +146,7 @@
         _check_entry(entry, f"mix[{n}]", plan.target.protocol == "platform")
     uses_mix = any(not isinstance(phase, TracePhase) for phase in plan.phases)
     if uses_mix and not any(entry.weight for entry in plan.mix):
-        raise PlanError("mix", "no entry with a weight above 0, but a phase draws from it")
+        raise PlanError("mix", "no entry has a weight above 0, but a phase draws requests from the mix")
     return plan
 
 
@@ -154,7 +155,7 @@
     if not entry.statement.strip():
         raise PlanError(f"{key}.statement", "must not be empty")
     if is_platform and not entry.class_name:
-        raise PlanError(f"{key}.class", "the platform's protocol needs the name of a class")
+        raise PlanError(f"{key}.class", "required by the platform protocol")
     if GROUP_PLACEHOLDER in placeholders and entry.groups is None:
         raise PlanError(f"{key}.groups", "missing, but the statement has {group}")
     for name in sorted(placeholders - {GROUP_PLACEHOLDER} - set(entry.parameters)):
@@ -165,14 +166,16 @@
         _check_parameter(values, f"{key}.parameters.{name}")
     for name in (entry.user, entry.class_name):
         if not name.isprintable():
-            raise PlanError(key, f"{name!r} has characters that no header can carry")
+            raise PlanError(key, f"{name!r} has characters that are not allowed in a header")
 
 
 def _check_parameter(values: IntegerRange | list[str], key: str) -> None:
     if isinstance(values, IntegerRange) and not values.low <= values.high < INTEGER_LIMIT:
-        raise PlanError(key, f"low {values.low} is above high {values.high}")
+        raise PlanError(
+            key, f"low {values.low} and high {values.high} must satisfy low <= high < {INTEGER_LIMIT}"
+        )
     if isinstance(values, list) and not values:
-        raise PlanError(key, "an empty list")
+        raise PlanError(key, "must not be an empty list")
 
 
 def _check_phase(phase: Phase, key: str, folder: Path) -> None:
@@ -184,13 +187,15 @@
     elif isinstance(phase, BurstPhase) and phase.burst_s > phase.period_s:
         raise PlanError(f"{key}.length", f"{phase.burst_s} is longer than the period {phase.period_s}")
     elif isinstance(phase, BurstPhase) and phase.seconds / phase.period_s > MAX_BURSTS:
-        raise PlanError(f"{key}.period", f"{phase.period_s} gives over {MAX_BURSTS:,} bursts")
+        raise PlanError(
+            f"{key}.period", f"{phase.period_s} is too short: the phase would have over {MAX_BURSTS:,} bursts"
+        )
     elif isinstance(phase, TracePhase) and not (folder / phase.file).is_file():
-        raise PlanError(f"{key}.file", f"{phase.file!r} is no file beside the plan")
+        raise PlanError(f"{key}.file", f"{phase.file!r} is not a file in the plan's directory")
 
 
 def _validation_error(text: str) -> PlanError:
-    """Moves the key to the front of a message of msgspec, as in `phases[0].rate: Expected ...`."""
+    """Converts a msgspec message to a PlanError with the key in front: `phases[0].rate: Expected ...`."""
     problem, _, path = text.partition(" - at `$")
     key = path.rstrip("`").lstrip(".")
     for pattern in (r"unknown field `([^`]*)`", r"missing required field `([^`]*)`"):
--- a/lilacfront/load/query_log.py
+++ b/lilacfront/load/query_log.py
@@ -1,4 +1,4 @@
-"""ClickHouse's query log as recorded requests (clickhouse.com/docs, "system.query_log" and "Formats")."""
+"""Converts rows of ClickHouse's query log (clickhouse.com/docs, "system.query_log" and "Formats")."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lilacfront.errors import LilacfrontError
 from lilacfront.load.trace import RecordedRequest
 
-# Of the types of a row, those of a statement that ran: 'QueryStart' would count it twice.
+# Row types of executed statements. 'QueryStart' is not one of them: the statement would count twice.
 FINISHED_TYPES = frozenset(("QueryFinish", "ExceptionWhileProcessing", "2", "4"))
 UNFINISHED_TYPES = frozenset(("QueryStart", "ExceptionBeforeStart", "1", "3"))
 TIME_COLUMNS = (
@@ -18,36 +18,36 @@
     "event_time_microseconds",
     "event_time",
 )
-MAX_SHOWN_CHARACTERS = 40  # of a faulty value in a message
+MAX_SHOWN_CHARACTERS = 40  # of an invalid value in an error message
 _DATE_TIME = re.compile(r"(\d{4}-\d\d-\d\d[ T]\d\d:\d\d:\d\d)(?:\.(\d{1,9}))?\Z")
 _UNIX_TIME = re.compile(r"\d{1,12}(\.\d{1,9})?")
 
 
 class UnusableRowError(LilacfrontError, ValueError):
-    """A row that is not one of the query log; `read_requests` counts it and shows the message."""
+    """An invalid row; `read_requests` counts it and keeps the message."""
 
 
 class SkippedRowError(LilacfrontError):
-    """A row of the query log that stands for no request; the message is the reason it is counted under."""
+    """A row that represents no client request; the message is the reason that it is counted under."""
 
 
 def request_of_row(row: dict[str, Any]) -> RecordedRequest:
     """Converts a row of the query log.
 
     Raises:
-        UnusableRowError: The row is faulty.
-        SkippedRowError: The row stands for no request of a client.
+        UnusableRowError: The row is invalid.
+        SkippedRowError: The row represents no client request.
     """
     row_type = str(row.get("type", "QueryFinish"))
     if row_type in UNFINISHED_TYPES:
-        raise SkippedRowError("the statement began, or never ran")
+        raise SkippedRowError("not a finished statement")
     if row_type not in FINISHED_TYPES:
-        raise UnusableRowError(f"type {row_type!r} is none that the log has")
+        raise UnusableRowError(f"unknown row type {row_type!r}")
     if str(row.get("is_initial_query", "1")) in ("0", "False", "false"):
-        raise SkippedRowError("part of another query")
+        raise SkippedRowError("not an initial query")
     statement = row.get("query")
     if not isinstance(statement, str) or not statement.strip():
-        raise UnusableRowError("no query")
+        raise UnusableRowError("column query is missing or empty")
     at_s = _start_time(row)
     duration_ms = _duration_ms(row)
     user = row.get("initial_user") or row.get("user") or ""
@@ -57,7 +57,7 @@
 def _start_time(row: dict[str, Any]) -> float:
     column = next((name for name in TIME_COLUMNS if name in row), None)
     if column is None:
-        raise UnusableRowError("no query_start_time_microseconds, query_start_time or event_time")
+        raise UnusableRowError(f"no time column; expected one of {', '.join(TIME_COLUMNS)}")
     unix_s = _unix_seconds(row[column])
     if unix_s is None:
         raise UnusableRowError(f"{column}: {str(row[column])[:MAX_SHOWN_CHARACTERS]!r} is not a time")
@@ -74,7 +74,7 @@
 
 
 def _unix_seconds(value: Any) -> float | None:
-    """Parses a DateTime, DateTime64 or number as the formats write them, in UTC; None for anything else."""
+    """Parses a DateTime or DateTime64 in UTC, or a number; returns None for any other value."""
     if isinstance(value, int | float) and not isinstance(value, bool):
         return float(value)
     if not isinstance(value, str):
--- a/lilacfront/load/recorder.py
+++ b/lilacfront/load/recorder.py
@@ -1,9 +1,9 @@
-"""Latencies without coordinated omission, and the schedule lag of the generator itself.
+"""Records latencies without coordinated omission, and the schedule lag of the generator itself.
 
 Every latency is recorded twice: from the due time of the request, and from its last attempt. The first is
-what a user sees who does not wait for the answers of others (Tene, "How NOT to Measure Latency"; wrk2); it
-needs no correction, since the due times are known. A lost request counts with the time until its timeout, so
-that it can't vanish from the percentiles.
+the latency of a user who does not wait for the answers to other requests (Tene, "How NOT to Measure Latency";
+wrk2). It needs no correction, since the due times are known. A lost request counts with the time until its
+timeout, so that the percentiles include it.
 """
 
 from __future__ import annotations
@@ -22,29 +22,34 @@
 
 @dataclass(slots=True)
 class _Latencies:
-    """Of one class with one outcome: from the due time, and from the last attempt."""
+    """The latencies of one class with one outcome.
+
+    Attributes:
+        intended: Measured from the due time.
+        actual: Measured from the last attempt.
+    """
 
     intended: BucketCounts = field(default_factory=dict)
     actual: BucketCounts = field(default_factory=dict)
 
 
 class Recorder:
-    """The measurements of one worker.
+    """Collects the measurements of one worker.
 
-    Seconds that can't change any more are written to `out`, so that memory stays flat.
+    Seconds whose requests have all ended are written to `out`, which bounds the memory.
     """
 
-    def __init__(self, out: BinaryIO, settle_s: float) -> None:
+    def __init__(self, out: BinaryIO, max_timeout_s: float) -> None:
         self.counters = Counters()
         self.outcome_counts: dict[str, int] = {}
         self._out = out
-        self._settle_s = settle_s
+        self._max_timeout_s = max_timeout_s
         self._latencies: dict[tuple[str, Outcome], _Latencies] = {}
         self._seconds: dict[int, WorkerSecond] = {}
         self._lag: BucketCounts = {}
 
     def record_start(self, due_s: float, lag_s: float) -> None:
-        """Counts a request that the generator picked up `lag_s` seconds after its due time."""
+        """Records a request that the generator started `lag_s` seconds after its due time."""
         self.counters.sent += 1
         record_latency(self._lag, lag_s)
         second = self._second(due_s)
@@ -54,7 +59,7 @@
     def record_outcome(
         self, class_name: str, outcome: Outcome, due_s: float, sent_s: float, now: float
     ) -> None:
-        """Records the final outcome of a request; all times in seconds after the start of the run."""
+        """Records the final outcome of a request; all times are in seconds after the start of the run."""
         key = (class_name, outcome)
         latencies = self._latencies.get(key)
         if latencies is None:
@@ -67,13 +72,13 @@
         self.outcome_counts[name] = self.outcome_counts.get(name, 0) + 1
         second.outcomes[name] = second.outcomes.get(name, 0) + 1
 
-    def flush_settled(self, now: float) -> None:
-        """Writes the seconds whose requests have all ended by `now`."""
-        settled = [number for number in self._seconds if number + 1 + self._settle_s < now]
-        self._write(settled)
+    def flush_complete_seconds(self, now: float) -> None:
+        """Writes the seconds whose requests have all ended: those over `max_timeout_s` before `now`."""
+        numbers = [number for number in self._seconds if number + 1 + self._max_timeout_s < now]
+        self._write(numbers)
 
     def close(self, rank: int, memory_kb: list[int], now: float) -> WorkerMeasurements:
-        """Writes the remaining seconds and returns the totals."""
+        """Writes the remaining seconds and returns the totals of the run."""
         self._write(sorted(self._seconds))
         self._out.flush()
         groups = [
--- a/lilacfront/load/report.py
+++ b/lilacfront/load/report.py
@@ -1,4 +1,4 @@
-"""Reports of runs as one self-contained HTML page: tables, plots, and the differences between runs."""
+"""Reports on runs as a self-contained HTML page: tables, plots, and comparisons of runs."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     Outcome.LOST: "#555555",
 }
 RUN_COLOURS = ("#4b6fa5", "#b5651d", "#3a7d44", "#7a4f9a", "#b03a2e", "#2a8c8c")
-MAX_PLOT_POINTS = 1200  # along the time axis; a longer run is drawn in steps of several seconds
-MAX_NINES = 5  # the percentile curve ends at 99.999
+MAX_PLOT_POINTS = 1200  # along the time axis; in a longer run a point covers several seconds
+MAX_NINES = 5  # the percentile curve ends at the percentile 99.999
 CURVE_POINTS = 200
 PERCENT = 100
-LATENCY_LINES = (("p50", 1.6), ("p90", 1.2), ("p99", 1.0), ("max", 0.6))  # with their widths
+LATENCY_LINES = (("p50", 1.6), ("p90", 1.2), ("p99", 1.0), ("max", 0.6))  # with line widths in points
 
 
 @dataclass(slots=True, frozen=True)
@@ -43,10 +43,10 @@
 
 
 def write_report(folders: list[Path], out: Path) -> None:
-    """Writes the report of runs; all but the first are compared with the first.
+    """Writes a report on runs; compares each run after the first with the first.
 
     Raises:
-        ResultError: A folder has no readable result.
+        ResultError: A directory has no valid result.
         OSError: The report can't be written.
     """
     matplotlib.use("Agg")
@@ -78,14 +78,14 @@
 
 
 def _image(figure: Figure) -> str:
-    """Returns a figure as a data URL."""
+    """Returns a figure as a data URL of an SVG image."""
     data = io.BytesIO()
     figure.savefig(data, format="svg", bbox_inches="tight")
     return "data:image/svg+xml;base64," + base64.b64encode(data.getvalue()).decode()
 
 
 def _downsample(seconds: list[Second]) -> tuple[int, list[Second]]:
-    """Merges seconds into steps where there are too many to draw; returns the step and the points."""
+    """Merges seconds if there are too many to draw; returns the seconds per point, and the points."""
     step = 1 + (seconds[-1].second if seconds else 0) // MAX_PLOT_POINTS
     if step == 1:
         return step, seconds
@@ -113,8 +113,8 @@
     _draw_rates(rate_axes, times, points, step)
     _draw_latencies(latency_axes, times, points)
     lag_axes.plot(times, [point.lag_ms for point in points], color="#7a4f9a", linewidth=0.8)
-    lag_axes.set_ylabel("schedule lag,\nmost, ms")
-    lag_axes.set_xlabel("second of the run in which the request was meant to be sent")
+    lag_axes.set_ylabel("schedule lag,\nmax, ms")
+    lag_axes.set_xlabel("due time of the request, seconds after the start")
     return _image(figure)
 
 
@@ -126,7 +126,7 @@
         axes.stackplot(times, rates, labels=labels, colors=colours)
     sent = [point.sent / step for point in points]
     axes.plot(times, sent, color="black", linewidth=0.8, label="sent")
-    axes.set_ylabel("requests a second")
+    axes.set_ylabel("requests per second")
     axes.legend(loc="upper right", fontsize="small", ncols=5)
 
 
@@ -138,7 +138,7 @@
         values = [summary[name] if summary[name] is not None else np.nan for summary in summaries]
         axes.plot(times, values, linewidth=width, label=name)
     axes.set_yscale("log")
-    axes.set_ylabel("ms from the intended sending")
+    axes.set_ylabel("ms from the due time")
     axes.grid(True, which="both", alpha=0.25)
     axes.legend(loc="upper right", fontsize="small", ncols=4)
 
@@ -152,14 +152,14 @@
         count = histogram.get_total_count()
         if not count:
             continue
-        shown = nines[nines <= np.log10(max(10, count))]
-        percents = [PERCENT * (1 - 10**-value) for value in shown]
+        shown_nines = nines[nines <= np.log10(max(10, count))]
+        percents = [PERCENT * (1 - 10**-value) for value in shown_nines]
         values = [histogram.get_value_at_percentile(percent) / US_PER_MS for percent in percents]
-        axes.plot(shown, values, label=run.name, color=RUN_COLOURS[n % len(RUN_COLOURS)])
+        axes.plot(shown_nines, values, label=run.name, color=RUN_COLOURS[n % len(RUN_COLOURS)])
     axes.set_xticks(list(range(MAX_NINES + 1)), ["0", "90", "99", "99.9", "99.99", "99.999"])
     axes.set_yscale("log")
     axes.set_xlabel("percentile")
-    axes.set_ylabel("ms from the intended sending")
+    axes.set_ylabel("ms from the due time")
     axes.grid(True, which="both", alpha=0.25)
     if len(runs) > 1:
         axes.legend()
--- a/lilacfront/load/result.py
+++ b/lilacfront/load/result.py
@@ -1,6 +1,6 @@
-"""The result of a run: `result.json` and `seconds.jsonl` in its folder. `docs/load.md` describes both.
+"""The result of a run: `result.json` and `seconds.jsonl` in its directory. `docs/load.md` describes both.
 
-Readers must ignore keys that they do not know; an incompatible change raises `VERSION`.
+Readers must ignore unknown keys; an incompatible change increments `VERSION`.
 """
 
 from __future__ import annotations
@@ -28,25 +28,30 @@
 
 
 class ResultError(LilacfrontError, ValueError):
-    """A folder without a readable result; the message names the file."""
+    """A result is missing or invalid; the message names the file."""
 
 
 class Latency(msgspec.Struct):
-    """Milliseconds from the due time and from the last attempt; None where nothing was recorded."""
+    """Percentiles of the latency in milliseconds; None if there were no requests.
+
+    Attributes:
+        intended: Measured from the due time of a request.
+        actual: Measured from its last attempt.
+    """
 
     intended: Percentiles
     actual: Percentiles
 
 
 class Histograms(msgspec.Struct):
-    """In HdrHistogram's V2 encoding and base64, in microseconds."""
+    """Latency histograms in microseconds, in HdrHistogram's V2 encoding and base64; see `Latency`."""
 
     intended: str
     actual: str
 
 
 class Breakdown(msgspec.Struct):
-    """The requests of one class, or of one outcome."""
+    """The figures of all requests of one class, or of one outcome."""
 
     sent: int
     outcomes: dict[str, int]
@@ -55,7 +60,7 @@
 
 
 class Result(msgspec.Struct, kw_only=True):
-    """All figures of a run, as `result.json` has them."""
+    """All figures of a run: the content of `result.json`."""
 
     version: int = VERSION
     target: dict[str, Any]
@@ -78,13 +83,13 @@
     classes: dict[str, Breakdown]
     by_outcome: dict[str, Breakdown]
     histograms: Histograms
-    memory_mb: list[float]  # resident, of all workers together, sampled at regular times
+    memory_mb: list[float]  # resident memory of all workers together, sampled at regular intervals
 
 
 def void_reasons(
     bounds: ValidityBounds, counters: Counters, lag: Percentiles, lost_workers: list[str]
 ) -> list[str]:
-    """Returns why a run says nothing about its target; empty for a valid run."""
+    """Returns the reasons why a run is no valid measurement of its target; empty for a valid run."""
     reasons = list(lost_workers)
     for name, bound_ms in (("p99", bounds.lag_p99_ms), ("max", bounds.lag_max_ms)):
         lag_ms = lag[name]
@@ -93,7 +98,7 @@
                 f"the generator could not keep up: schedule lag {name} {lag_ms:.1f} ms, over {bound_ms:g} ms"
             )
     if counters.overflowed:
-        reasons.append(f"{counters.overflowed} requests found more waiting for a connection than allowed")
+        reasons.append(f"{counters.overflowed} requests were dropped: too many were waiting for a connection")
     return reasons
 
 
@@ -106,7 +111,7 @@
     partial: bool,
     lost_workers: list[str],
 ) -> Result:
-    """Merges what the workers measured into the result of the run."""
+    """Merges the measurements of the workers into the result of the run."""
     counters = Counters()
     for worker in measurements:
         counters.add(worker.counters)
@@ -140,7 +145,7 @@
 
 
 def write_result(folder: Path, result: Result, worker_files: list[Path]) -> None:
-    """Writes the result, and the workers' files of seconds merged into one."""
+    """Merges the workers' measurements by second into one file, deletes theirs, and writes the result."""
     with ExitStack() as stack:
         opened = [stack.enter_context(path.open("rb")) for path in worker_files]
         with (folder / SECONDS_FILE).open("wb") as out:
@@ -148,17 +153,17 @@
                 out.write(msgspec.json.encode(second) + b"\n")
     for path in worker_files:
         path.unlink()
-    # Last, and atomically: a folder with this file holds a complete result.
+    # Written last and atomically: if this file exists, the result is complete.
     temporary = folder / (RESULT_FILE + ".new")
     temporary.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=2) + b"\n")
     temporary.replace(folder / RESULT_FILE)
 
 
 def read_result(folder: Path) -> tuple[Result, list[Second]]:
-    """Reads the result of a run and its seconds.
+    """Reads the result of a run and its measurements by second.
 
     Raises:
-        ResultError: The folder has no result, or none of this version.
+        ResultError: The result is missing, invalid or of another version.
     """
     path = folder / RESULT_FILE
     try:
@@ -171,7 +176,7 @@
     except msgspec.MsgspecError as error:
         raise ResultError(f"{path}: {error}") from None
     if result.version != VERSION:
-        raise ResultError(f"{path}: version {result.version}, this program reads {VERSION}")
+        raise ResultError(f"{path}: version {result.version} is not supported; expected {VERSION}")
     return result, seconds
 
 
--- a/lilacfront/load/retry_policy.py
+++ b/lilacfront/load/retry_policy.py
@@ -1,7 +1,7 @@
-"""The decisions of a client: how an attempt counts, and whether and when to retry it. No input or output.
+"""The retry policy of a client: the outcome of an attempt, and whether and when to retry. Performs no I/O.
 
-The clients are as strict as the front ends that they test: an attempt that may have been executed is
-retried only if the request is idempotent, and never while another attempt of it is in flight.
+The clients apply the same rules as the front ends that they test: an attempt that may have been executed is
+retried only if the request is idempotent, and never while another attempt of the request is in flight.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 
 class Outcome(Enum):
-    """How a request ended; each request that was sent has exactly one. The values are names in results."""
+    """The final outcome of a request. The values are names in results."""
 
     SERVED = "served"
     REJECTED = "refused"
-    FAILED = "failed"  # an error, a broken connection, an incomplete or incorrect answer
-    LOST = "lost"  # no answer within its timeout
+    FAILED = "failed"  # an error, a broken connection, or an incomplete or wrong answer
+    LOST = "lost"  # no answer within the timeout
 
 
 class AttemptEnd(Enum):
     """How one attempt ended."""
 
     SERVED = "served"
-    REJECTED = "refused"  # the answer says that it was not executed
-    ERROR = "error"  # an answer that says that it failed
-    WRONG = "wrong"  # a complete answer, but of another request or not the expected result
-    BROKEN = "broken"  # the connection ended, or its data can't be parsed
-    UNSENT = "unsent"  # no connection, or it ended before a byte had left
+    REJECTED = "refused"  # the answer says that the request was not executed
+    ERROR = "error"  # the answer says that the request failed
+    WRONG = "wrong"  # a complete answer that belongs to another request or differs from the expected result
+    BROKEN = "broken"  # the connection was closed or its data can't be parsed; may have been executed
+    UNSENT = "unsent"  # the connect failed, or the connection was closed before a byte was sent
     TIMED_OUT = "late"
 
 
@@ -45,11 +45,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptResult:
-    """The end of an attempt.
+    """The result of an attempt.
 
     Attributes:
-        end: How it ended.
-        retry_after_s: The Retry-After time of the answer; None where it has none.
+        end: How the attempt ended.
+        retry_after_s: The Retry-After time of the answer; None if the answer has none.
     """
 
     end: AttemptEnd
@@ -70,12 +70,12 @@
     deadline: float,
     rng: random.Random,
 ) -> float | None:
-    """Decides when to retry a request after `attempts` of them.
+    """Decides when to retry a request that has had `attempts` attempts.
 
-    A wait beyond the request's deadline ends it now: the client learns nothing by waiting.
+    A result is final at once if the retry would be after the request's deadline.
 
     Returns:
-        The time of the next attempt, on the clock of `now`; None if the result is final.
+        The time of the next attempt, on the clock of `now`; None if there is no retry.
     """
     if result.end in (AttemptEnd.SERVED, AttemptEnd.TIMED_OUT) or client.retry == "never":
         return None
@@ -86,6 +86,6 @@
     retry_at = now
     if client.retry == "told":
         delay_s = client.default_retry_after_s if result.retry_after_s is None else result.retry_after_s
-        # Upwards only: a retry before the Retry-After time would violate it.
+        # Jitter only adds to the delay: a client must not retry before the Retry-After time.
         retry_at = now + delay_s * (1 + client.jitter * rng.random())
     return retry_at if retry_at < deadline else None
--- a/lilacfront/load/run.py
+++ b/lilacfront/load/run.py
@@ -1,7 +1,8 @@
-"""Runs a plan in as many processes as it says and merges what they measured.
+"""Runs a load plan in `plan.workers` processes and merges their measurements.
 
-The parent only waits, shows progress and merges. Workers get the plan over a pipe, make their own share of
-the schedule, and start at one moment of the system's monotonic clock, which no step of the wall clock moves.
+The parent process starts the workers, reports progress and merges the results. Each worker receives the plan
+over a pipe, generates its share of the schedule, and starts at a time that the parent sets on the system's
+monotonic clock, which does not jump when the wall clock is set.
 """
 
 from __future__ import annotations
@@ -29,34 +30,34 @@
 
 WORKER_START_TIMEOUT_S = 60.0
 WORKER_EXIT_TIMEOUT_S = 5.0
-START_DELAY_S = 0.2  # between the message to start and the start
+START_DELAY_S = 0.2  # from sending the start time to the start, so that every worker has received it
 STOP = b"stop"
 
 
 class RunError(LilacfrontError, RuntimeError):
-    """A run that could not be made."""
+    """A run could not be started; the message says why."""
 
 
 class RunObserver(Protocol):
-    """What is informed of a run."""
+    """Receives the start and the progress of a run."""
 
     def started(self, begin: float) -> None:
-        """The run starts at `begin` on the system's monotonic clock."""
+        """Receives the start time of the run, `begin`, on the system's monotonic clock."""
         ...
 
     def progressed(self, elapsed_s: float, planned_s: float, progress: Progress) -> None:
-        """Reports the counts of all workers so far."""
+        """Receives the counts of all workers so far."""
         ...
 
 
 @dataclass(slots=True)
 class StartTime:
-    """A RunObserver that keeps the moment of the start."""
+    """A RunObserver that stores the start time and ignores progress."""
 
     begin: float = 0.0
 
     def started(self, begin: float) -> None:
-        """Keeps the moment of the start."""
+        """Stores the start time."""
         self.begin = begin
 
     def progressed(self, elapsed_s: float, planned_s: float, progress: Progress) -> None:
@@ -71,7 +72,7 @@
     out: Path
     progress: Progress = field(default_factory=lambda: Progress(0, 0, {}))
     measured: WorkerMeasurements | None = None
-    failure: str = ""  # where it ended without a result
+    failure: str = ""  # why the worker exited without a result; empty if it did not
 
     @property
     def ended(self) -> bool:
@@ -83,35 +84,35 @@
 ) -> Result:
     """Runs a plan and writes its result.
 
-    An interrupt ends the run early and leaves a result marked partial.
+    An interrupt (SIGINT or SIGTERM) ends the run early; its result is marked as partial.
 
     Args:
-        text: The plan.
-        folder: Of the plan, for the files that it names.
-        out: The folder for the result; made if need be.
-        targets: Replace the plan's addresses unless empty.
-        observer: Is informed of the run.
+        text: The plan as TOML.
+        folder: The directory of the plan; trace files are relative to it.
+        out: The directory for the result; created if missing.
+        targets: Addresses that replace those of the plan; empty to keep the plan's.
+        observer: Receives the start and the progress of the run.
 
     Raises:
-        PlanError: The plan can't be used.
-        TraceError: A trace that it replays can't be used.
+        PlanError: The plan is invalid.
+        TraceError: A trace that the plan replays is invalid.
         OSError: A file can't be read or written.
-        RunError: `out` holds a result, or a worker does not start.
+        RunError: `out` already contains a result, or a worker did not start.
     """
     plan = _with_targets(parse(text, folder), targets)
     for n, address in enumerate(plan.target.addresses):
         parse_address(address, f"target.addresses[{n}]")
     planned_s = planned_duration_s(plan, folder)
     if (out / RESULT_FILE).exists():
-        raise RunError(f"{out}: holds a result already; name another folder")
+        raise RunError(f"{out} already contains a result; choose another directory")
     out.mkdir(parents=True, exist_ok=True)
     (out / PLAN_FILE).write_bytes(text)
     workers = _start_workers(plan, folder, out)
-    with _joined(workers), _terminated_as_interrupt():
-        started_at, begin = _begin(workers)
+    with _cleaning_up(workers), _sigterm_as_interrupt():
+        started_at, begin = _start_run(workers)
         observer = observer or StartTime()
         observer.started(begin)
-        interrupted = _watch(workers, begin, planned_s, observer)
+        interrupted = _wait_for_workers(workers, begin, planned_s, observer)
     result = merge_results(
         plan,
         [worker.measured for worker in workers if worker.measured is not None],
@@ -147,8 +148,8 @@
 
 
 @contextmanager
-def _terminated_as_interrupt() -> Iterator[None]:
-    """Has SIGTERM raise KeyboardInterrupt, as SIGINT does."""
+def _sigterm_as_interrupt() -> Iterator[None]:
+    """Makes SIGTERM raise KeyboardInterrupt, as SIGINT does."""
     previous = signal.signal(signal.SIGTERM, _raise_interrupt)
     try:
         yield
@@ -161,8 +162,8 @@
 
 
 @contextmanager
-def _joined(workers: list[_Worker]) -> Iterator[None]:
-    """Ends all workers, by force if need be."""
+def _cleaning_up(workers: list[_Worker]) -> Iterator[None]:
+    """Closes the pipes and waits for all workers; kills those that run longer than WORKER_EXIT_TIMEOUT_S."""
     try:
         yield
     finally:
@@ -174,24 +175,24 @@
                 worker.process.join()
 
 
-def _begin(workers: list[_Worker]) -> tuple[str, float]:
-    """Starts all workers at one moment; returns it as ISO 8601 and on the monotonic clock."""
-    until = time.monotonic() + WORKER_START_TIMEOUT_S
+def _start_run(workers: list[_Worker]) -> tuple[str, float]:
+    """Starts all workers at the same time; returns the start as ISO 8601 text and on the monotonic clock."""
+    start_deadline = time.monotonic() + WORKER_START_TIMEOUT_S
     for worker in workers:
         try:
-            if not worker.pipe.poll(max(0.0, until - time.monotonic())):
-                raise RunError(f"worker {worker.rank} does not come up")
+            if not worker.pipe.poll(max(0.0, start_deadline - time.monotonic())):
+                raise RunError(f"worker {worker.rank} was not ready within {WORKER_START_TIMEOUT_S:g} s")
             worker.pipe.recv_bytes()
         except EOFError:
-            raise RunError(f"worker {worker.rank} ended before the start") from None
+            raise RunError(f"worker {worker.rank} exited before the start") from None
     begin = time.monotonic() + START_DELAY_S
     for worker in workers:
         worker.pipe.send_bytes(repr(begin).encode())
     return datetime.now(UTC).isoformat(timespec="milliseconds"), begin
 
 
-def _watch(workers: list[_Worker], begin: float, planned_s: float, observer: RunObserver) -> bool:
-    """Receives from the workers until all have ended; returns whether the run was interrupted."""
+def _wait_for_workers(workers: list[_Worker], begin: float, planned_s: float, observer: RunObserver) -> bool:
+    """Receives messages until all workers have ended; returns whether the run was interrupted."""
     interrupted = False
     while not all(worker.ended for worker in workers):
         try:
@@ -202,13 +203,13 @@
                 raise
             interrupted = True
             for worker in workers:
-                with suppress(OSError):  # it may be ending by itself
+                with suppress(OSError):  # the worker may have exited and closed its end of the pipe
                     worker.pipe.send_bytes(STOP)
     return interrupted
 
 
 def _receive(workers: list[_Worker]) -> None:
-    """Receives messages of the workers for `PROGRESS_INTERVAL_S` at most."""
+    """Waits up to `PROGRESS_INTERVAL_S` for messages of the workers and stores them."""
     by_pipe = {worker.pipe: worker for worker in workers if not worker.ended}
     for pipe in wait(list(by_pipe), PROGRESS_INTERVAL_S):
         assert isinstance(pipe, Connection)
@@ -218,7 +219,7 @@
         except (EOFError, OSError):
             worker.process.join(WORKER_EXIT_TIMEOUT_S)
             exit_code = worker.process.exitcode
-            worker.failure = f"worker {worker.rank} ended with {exit_code} and without a result"
+            worker.failure = f"worker {worker.rank} exited with code {exit_code} and without a result"
             continue
         if isinstance(message, Progress):
             worker.progress = message
--- a/lilacfront/load/sender.py
+++ b/lilacfront/load/sender.py
@@ -1,7 +1,7 @@
 """Sends one worker's share of a plan open-loop: sending never waits for answers.
 
-The pacer picks up requests as they fall due and submits each to the connection pool. Retries are decided in
-`retry_policy.py`; how an outcome counts, in `recorder.py`.
+The pacer starts each request at its due time and submits it to the connection pool. `retry_policy.py` decides
+on retries; `recorder.py` records the outcomes.
 """
 
 from __future__ import annotations
@@ -19,20 +19,21 @@
 from lilacfront.sched import Loop, Task
 
 CONNECT_TIMEOUT_S = 5.0
-BATCH_REQUESTS = 64  # picked up before the answers that have come are read
-SWEEP_INTERVAL_S = 0.01  # between two checks of the deadlines
+BATCH_REQUESTS = 64  # overdue requests that are started before the event loop reads answers
+SWEEP_INTERVAL_S = 0.01  # the shortest time between two checks of deadlines and retries
 MAX_SWEEP_INTERVAL_S = 1.0
-MAX_PACER_WAIT_S = 0.25  # so that a stop is noticed
-YIELD_S = 1e-6
-SEED_FACTOR = 1_000_003  # gives every worker's jitter a seed of its own
+MAX_PACER_WAIT_S = 0.25  # the longest wait of the pacer, so that it notices a stop
+YIELD_S = 1e-6  # a wait that lets the event loop run once
+SEED_FACTOR = 1_000_003  # separates the jitter seeds of the workers: plan seed * factor + rank
 
 
 class Sender:
-    """The load of one worker.
+    """Sends the requests of one worker and records their outcomes.
 
     Attributes:
-        pool: Its connections.
-        open_requests: Requests that were picked up and have no final outcome.
+        start: The start of the run on the loop's clock.
+        pool: The connection pool of the worker.
+        open_requests: Requests that were started and have no final outcome.
         stopped: Whether `stop` was called.
     """
 
@@ -61,39 +62,39 @@
         )
         self.pool = ConnectionPool(loop, settings, codec_factory, recorder.counters, self)
         self._rng = random.Random(plan.seed * SEED_FACTOR + rank)
-        # Heaps by time, then by number.
+        # Heaps ordered by time, then by request number.
         self._retries: list[tuple[float, int, OpenRequest]] = []
         self._deadlines: list[tuple[float, int, OpenRequest]] = []
-        self._all_picked_up = False
+        self._all_started = False
 
     def now(self) -> float:
-        """Returns seconds after the start; read anew, since a turn of the loop may take long."""
+        """Returns the seconds since the start, from the clock: the loop's cached time may be out of date."""
         return self.loop.clock() - self.start
 
     def run(self, requests: Iterable[ScheduledRequest], start: float) -> None:
-        """Starts the tasks; `start` is on the loop's clock. `done` is set when all has ended."""
+        """Starts the tasks that send `requests`; `start` is the start of the run on the loop's clock."""
         self.start = start
         self.loop.spawn(self._pace, requests)
         self.loop.spawn(self._sweep)
 
     @property
     def done(self) -> bool:
-        """Whether every request has its final outcome."""
-        return self._all_picked_up and not self.open_requests
+        """Whether all requests have been started and have a final outcome."""
+        return self._all_started and not self.open_requests
 
     def stop(self) -> None:
-        """Sends no more; open requests stay open until their deadlines, or until `abandon`."""
+        """Stops sending; open requests stay open until their deadlines or until `abandon`."""
         self.stopped = True
 
     def abandon(self) -> None:
-        """Ends the run now; open requests count as unfinished."""
+        """Ends the run immediately; open requests are counted as unfinished."""
         self.recorder.counters.unfinished += len(self.open_requests)
         for request in self.open_requests:
             request.finished = True
         self.open_requests.clear()
 
     def attempt_ended(self, request: OpenRequest, result: AttemptResult) -> None:
-        """Retries a request, or records its final outcome. Implements AttemptListener."""
+        """Retries the request or records its final outcome. Implements AttemptListener."""
         now = self.now()
         request.chunk = None
         if request.finished:
@@ -108,6 +109,7 @@
             heapq.heappush(self._retries, (retry_at, request.scheduled.number, request))
 
     def _pace(self, task: Task, requests: Iterable[ScheduledRequest]) -> None:
+        """Starts each request at its due time; runs as a task."""
         batch = 0
         for scheduled in requests:
             due = self.start + scheduled.due_s
@@ -116,15 +118,16 @@
                 self.loop.wait(task, min(due, self.loop.now + MAX_PACER_WAIT_S))
             if self.stopped:
                 break
-            self._pick_up(scheduled, self.loop.now - due)
+            self._start_request(scheduled, self.loop.now - due)
             batch += 1
             if batch >= BATCH_REQUESTS:
-                # A generator that is behind must still read answers, or its lag would count as the target's.
+                # If sending lags, answers must still be read, or the lag would count as latency.
                 batch = 0
                 self.loop.wait(task, self.loop.now + YIELD_S)
-        self._all_picked_up = True
+        self._all_started = True
 
     def _sweep(self, task: Task) -> None:
+        """Times out requests, sends retries and writes complete seconds; runs as a task."""
         while not self.done:
             self.loop.wait(task, self._next_sweep_at())
             now = self.now()
@@ -136,17 +139,20 @@
                 request = heapq.heappop(self._retries)[2]
                 if not request.finished:
                     self._submit(request)
-            self.recorder.flush_settled(now)
+            self.recorder.flush_complete_seconds(now)
 
     def _next_sweep_at(self) -> float:
-        """Returns when to sweep next: soon, but not before a timer on a clock that jumps between events."""
+        """Returns the time of the next deadline or retry, within the limits of the sweep interval.
+
+        A virtual clock jumps to this time, so sweeping without a due deadline or retry would be wasted.
+        """
         timers = [heap[0][0] for heap in (self._deadlines, self._retries) if heap]
-        soon = self.loop.now + SWEEP_INTERVAL_S
+        earliest = self.loop.now + SWEEP_INTERVAL_S
         if not timers:
-            return soon + SWEEP_INTERVAL_S
-        return max(soon, min(self.start + min(timers), soon + MAX_SWEEP_INTERVAL_S))
+            return earliest + SWEEP_INTERVAL_S
+        return max(earliest, min(self.start + min(timers), earliest + MAX_SWEEP_INTERVAL_S))
 
-    def _pick_up(self, scheduled: ScheduledRequest, lag_s: float) -> None:
+    def _start_request(self, scheduled: ScheduledRequest, lag_s: float) -> None:
         self.recorder.record_start(scheduled.due_s, lag_s)
         request = OpenRequest(scheduled, scheduled.due_s + scheduled.profile.timeout_s)
         self.open_requests.add(request)
@@ -171,6 +177,6 @@
         request.finished = True
         self.open_requests.discard(request)
         scheduled = request.scheduled
-        # Without an attempt the whole wait since the due time counts.
+        # A request without an attempt counts with its whole wait since the due time.
         sent_at = request.sent_at if request.attempts else scheduled.due_s
         self.recorder.record_outcome(scheduled.profile.class_name, outcome, scheduled.due_s, sent_at, now)
--- a/lilacfront/load/simulated_run.py
+++ b/lilacfront/load/simulated_run.py
@@ -1,6 +1,6 @@
-"""Runs a plan against a stand-in within one event loop on a virtual clock.
+"""Runs a plan against a stand-in server in one event loop on a virtual clock.
 
-What takes minutes takes seconds, and the same seeds give the same figures each time.
+Minutes of load are simulated in seconds, and the same seeds give the same figures.
 """
 
 from __future__ import annotations
@@ -26,12 +26,14 @@
 
 @dataclass(slots=True, frozen=True)
 class SimulatedRun:
-    """What was measured, and what the stand-in says that it did.
+    """The measurements of a simulated run, and the stand-in's own record.
 
     Attributes:
-        server_actions: How often the stand-in did what.
-        server_log: The lines that the stand-in wrote, one for each answer.
-        begin: The start on the virtual clock.
+        measured: The measurements of the generator.
+        seconds: The measurements by second.
+        server_actions: The number of requests by the stand-in's action.
+        server_log: The log of the stand-in, one line per answer.
+        begin: The start of the run on the virtual clock.
     """
 
     measured: WorkerMeasurements
@@ -47,13 +49,13 @@
     on_turn: Callable[[VirtualClock, Sender], None] | None = None,
     refuse_connections: bool = False,
 ) -> SimulatedRun:
-    """Runs a plan against a stand-in; the addresses of the plan are not used.
+    """Runs a plan against a stand-in; ignores the addresses of the plan.
 
     Args:
-        plan: The plan; one worker sends all of it.
-        behaviour: Of the stand-in.
-        on_turn: Called at every turn; it may advance the clock, as a starved machine would.
-        refuse_connections: Whether nothing listens.
+        plan: The plan; one worker sends all requests.
+        behaviour: The behaviour of the stand-in.
+        on_turn: Called at every turn of the loop; may advance the clock to simulate a lack of CPU time.
+        refuse_connections: Whether the listening socket is closed before the run.
     """
     clock = VirtualClock()
     loop = Loop(clock)
@@ -76,11 +78,11 @@
         ended_at = sender.now()
         return sender.done
 
-    def is_settled() -> bool:
+    def is_quiescent() -> bool:
         return not sender.pool.connecting and sender.pool.in_flight == standin.pending
 
     try:
-        run_virtual_time(loop, clock, is_done, is_settled)
+        run_virtual_time(loop, clock, is_done, is_quiescent)
     finally:
         standin.close()
         for connection in list(sender.pool.connections):
--- a/lilacfront/load/thrift_codec.py
+++ b/lilacfront/load/thrift_codec.py
@@ -1,4 +1,4 @@
-"""The client's side of the platform's Thrift protocol: many open requests, answers in any order."""
+"""The client side of the platform's Thrift protocol: many open requests, answers in any order."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lilacfront.load.schedule import RequestProfile
 from lilacfront.protocols import thrift
 
-MAX_PLATFORM_RESULT_BYTES = 48_000  # of a complete result
+MAX_PLATFORM_RESULT_BYTES = 48_000  # the largest valid result
 FRAME_OVERHEAD_BYTES = 4096
 COLUMN_SEPARATORS_PER_ROW = 2
 MS_PER_S = 1000
@@ -24,22 +24,22 @@
 
 
 class ThriftClientCodec:
-    """The codec of one connection; `run` is eight hex digits, the upper half of every call's id."""
+    """The codec of one connection; `run` is eight hex digits, the first half of every call id."""
 
     def __init__(self, run: str) -> None:
         self.open_requests: dict[int, RequestProfile] = {}
         self.closing = False
         self._run = int(run, 16) & _UINT32_MASK
         self._frames = thrift.FrameDecoder(MAX_PLATFORM_RESULT_BYTES + FRAME_OVERHEAD_BYTES)
-        self._numbers: dict[int, int] = {}  # by sequence number
-        self._seqids: dict[int, int] = {}  # by the request's number
-        # By sequence number: what a further answer would be.
+        self._numbers: dict[int, int] = {}  # request numbers by sequence number
+        self._seqids: dict[int, int] = {}  # sequence numbers by request number
+        # How to classify a further answer to an ended call, by sequence number.
         self._ended: OrderedDict[int, StrayAnswer] = OrderedDict()
         self._last_seqid = 0
 
     @property
     def capacity(self) -> int:
-        """How many more requests may be sent now."""
+        """The number of further requests that may be sent now."""
         return thrift.MAX_OPEN_CALLS - len(self.open_requests)
 
     def request(self, number: int, profile: RequestProfile, statement: bytes, ttl_s: float) -> bytes:
@@ -55,7 +55,7 @@
         return thrift.encode_invoke(seqid, fields, statement)
 
     def cancel(self, number: int) -> bytes | None:
-        """Cancels an open request and returns the bytes that tell the peer."""
+        """Cancels an open request and returns the message to send to the peer."""
         del self.open_requests[number]
         seqid = self._seqids[number]
         self._end_call(seqid, StrayAnswer.LATE)
--- a/lilacfront/load/trace.py
+++ b/lilacfront/load/trace.py
@@ -1,4 +1,4 @@
-"""Recorded traces as JSON Lines; everything streams.
+"""Recorded traces as JSON Lines, read and written as streams.
 
 The first line names the format, `{"format":"lilacfront-trace","version":1}`; each further line is one
 request, `{"at":0.25,"class":"lookup","user":"dash","statement":"SELECT 1"}`, with `at` in seconds from the
@@ -18,11 +18,11 @@
 
 FORMAT = "lilacfront-trace"
 VERSION = 1
-MAX_LINE_BYTES = 16 << 20  # a longer line is counted as unusable and not read into memory as a whole
+MAX_LINE_BYTES = 16 << 20  # a longer line is invalid and is never read into memory as a whole
 
 
 class TraceError(LilacfrontError, ValueError):
-    """A trace that can't be used; the message names file and line."""
+    """An invalid trace; the message names the file and the line."""
 
 
 class Header(msgspec.Struct, forbid_unknown_fields=True):
@@ -37,8 +37,8 @@
     """One recorded request.
 
     Attributes:
-        at_s: Seconds from the start of the trace.
-        duration_ms: What the request took, where that is known.
+        at_s: The time of the request in seconds from the start of the trace.
+        duration_ms: The recorded duration; None if unknown.
     """
 
     at_s: Annotated[float, Meta(ge=0)] = field(name="at")
@@ -54,7 +54,7 @@
 
 
 def read_lines(file: BinaryIO) -> Iterator[tuple[int, bytes | None]]:
-    """Yields the lines of a file with their numbers from 1; None for one over `MAX_LINE_BYTES`."""
+    """Yields the lines of a file with their numbers from 1; None for a line over `MAX_LINE_BYTES`."""
     number = 0
     while line := file.readline(MAX_LINE_BYTES + 1):
         number += 1
@@ -70,21 +70,21 @@
     """Checks the first line of a trace.
 
     Raises:
-        TraceError: Another format or version; `where` is the place that the message names.
+        TraceError: The format or version is not supported; `where` is the file and line for the message.
         msgspec.MsgspecError: The line is not a header.
     """
     header = _HEADER_DECODER.decode(line)
     if (header.format, header.version) != (FORMAT, VERSION):
-        raise TraceError(f"{where}: not a {FORMAT} of version {VERSION}")
+        raise TraceError(f"{where}: expected format {FORMAT}, version {VERSION}")
 
 
 def decode_request(line: bytes) -> RecordedRequest:
-    """Decodes one line of a trace; raises msgspec.MsgspecError."""
+    """Decodes one line of a trace; raises msgspec.MsgspecError if it is invalid."""
     return _REQUEST_DECODER.decode(line)
 
 
 def encode_request(request: RecordedRequest) -> bytes:
-    """Encodes a request as one line, with its line end."""
+    """Encodes a request as one line, including the newline."""
     return _ENCODER.encode(request) + b"\n"
 
 
@@ -92,14 +92,14 @@
     """Yields the requests of a trace.
 
     Raises:
-        TraceError: At the first line that can't be used.
+        TraceError: A line is invalid.
     """
     with path.open("rb") as file:
         last_s = 0.0
         for number, line in read_lines(file):
             where = f"{path}, line {number}"
             if line is None:
-                raise TraceError(f"{where}: over {MAX_LINE_BYTES} bytes")
+                raise TraceError(f"{where}: longer than {MAX_LINE_BYTES} bytes")
             try:
                 if number == 1:
                     check_header(line, where)
@@ -109,14 +109,15 @@
                 raise TraceError(f"{where}: {error}") from None
             if request.at_s < last_s:
                 raise TraceError(
-                    f"{where}: at {request.at_s} is before {last_s} of the line above; `load import` sorts"
+                    f"{where}: at {request.at_s} is before {last_s} of the previous line;"
+                    " `load import` sorts by time"
                 )
             last_s = request.at_s
             yield request
 
 
 def write_trace(requests: Iterable[RecordedRequest], out: BinaryIO, source: str = "") -> int:
-    """Writes a trace; returns how many requests it holds."""
+    """Writes a trace; returns the number of requests."""
     out.write(_ENCODER.encode(Header(FORMAT, VERSION, source)) + b"\n")
     count = 0
     for request in requests:
--- a/lilacfront/load/trace_import.py
+++ b/lilacfront/load/trace_import.py
@@ -1,6 +1,7 @@
 """Conversion of traces and query logs into one trace: read, filter, classify, sort and scale.
 
-The query log is read as JSONEachRow or CSVWithNames. Everything streams; sorting spills to disk.
+Query logs are read as JSONEachRow or CSVWithNames. Requests are processed as a stream; large sorts use
+temporary files.
 """
 
 from __future__ import annotations
@@ -31,12 +32,12 @@
     read_lines,
 )
 
-SPILL_BYTES = 16 << 20  # of requests that are sorted in memory at once
-REQUEST_OVERHEAD_BYTES = 200  # of a request in memory, besides its statement
-MAX_SHOWN_LINES = 10  # unusable lines that are shown with their numbers
+SPILL_BYTES = 16 << 20  # requests beyond this size are sorted in temporary files
+REQUEST_OVERHEAD_BYTES = 200  # estimated memory of a request without its statement
+MAX_SHOWN_LINES = 10  # unusable lines whose number and problem are kept
 
 SourceFormat = Literal["own", "json", "csv"]
-ClassPatterns = list[tuple[re.Pattern[str], str]]  # the first pattern that matches gives the class
+ClassPatterns = list[tuple[re.Pattern[str], str]]  # the class of the first matching pattern is used
 
 _ROW_DECODER = msgspec.json.Decoder(dict[str, Any])
 _BY_TIME = attrgetter("at_s")
@@ -44,17 +45,21 @@
 
 @dataclass(slots=True)
 class ImportTally:
-    """What became of the lines that were read; no line is dropped without being counted here."""
+    """Counts of the lines that were read; every dropped line is counted."""
 
     read: int = 0
-    taken: int = 0
-    out_of_order: int = 0  # taken, but after a line of a later time
-    left_out: Counter[str] = field(default_factory=Counter)  # by reason: filters, and rows without a request
+    imported: int = 0
+    out_of_order: int = 0  # read after a request with a later time
+    skipped: Counter[str] = field(
+        default_factory=Counter
+    )  # requests and rows by the reason for skipping them
     unusable: int = 0
-    shown_lines: list[str] = field(default_factory=list)  # the first unusable lines: "FILE, line N: problem"
+    shown_lines: list[str] = field(
+        default_factory=list
+    )  # the first unusable lines as "FILE, line N: problem"
 
     def add_unusable(self, where: str, problem: str) -> None:
-        """Counts a line that can't be used."""
+        """Counts an unusable line."""
         self.unusable += 1
         if len(self.shown_lines) < MAX_SHOWN_LINES:
             self.shown_lines.append(f"{where}: {problem}")
@@ -62,16 +67,16 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestFilter:
-    """Which requests are kept; times in seconds of the source, before scaling."""
+    """Selects requests; times are in seconds from the start of the source file, before scaling."""
 
-    users: frozenset[str] = frozenset()  # empty: of any
-    classes: frozenset[str] = frozenset()
+    users: frozenset[str] = frozenset()  # empty: all users
+    classes: frozenset[str] = frozenset()  # empty: all classes
     pattern: re.Pattern[str] | None = None  # searched in the statement
     begin_s: float = 0.0
     end_s: float = float("inf")
 
     def rejection_reason(self, request: RecordedRequest) -> str | None:
-        """Returns why a request is left out; None to keep it."""
+        """Returns the reason for skipping a request; None to keep it."""
         if self.users and request.user not in self.users:
             return "another user"
         if self.classes and request.class_name not in self.classes:
@@ -85,14 +90,14 @@
 
 @dataclass(slots=True, frozen=True)
 class _SourceLine:
-    """A line of a source: a request, a row of the query log, or what is wrong with the line."""
+    """A line of a source file: a request, a row of the query log, or an error. `where` is file and line."""
 
     where: str
     content: RecordedRequest | dict[str, Any] | UnusableRowError
 
 
 def read_requests(path: Path, source_format: SourceFormat, tally: ImportTally) -> Iterator[RecordedRequest]:
-    """Yields the usable requests of one file, in its order and with its times."""
+    """Yields the valid requests of one file, with the order and times of the file; counts the others."""
     with path.open("rb") as file:
         if source_format == "csv":
             lines = _csv_lines(file, path)
@@ -106,7 +111,7 @@
                 tally.add_unusable(line.where, str(error))
                 continue
             except SkippedRowError as reason:
-                tally.left_out[str(reason)] += 1
+                tally.skipped[str(reason)] += 1
                 continue
             yield request
 
@@ -114,7 +119,7 @@
 def sort_by_time(
     requests: Iterable[RecordedRequest], tally: ImportTally, spill_bytes: int = SPILL_BYTES
 ) -> Iterator[RecordedRequest]:
-    """Yields the requests by time, with an external merge sort of runs of about `spill_bytes`."""
+    """Yields the requests ordered by time, using an external merge sort with runs of about `spill_bytes`."""
     with ExitStack() as stack:
         runs: list[BinaryIO] = []
         buffered: list[RecordedRequest] = []
@@ -149,8 +154,8 @@
 ) -> Iterator[RecordedRequest]:
     """Reads, filters, classifies, sorts and scales the requests of files.
 
-    The times of each file begin with its first request. Files follow one another, each beginning where the
-    one before ended; with `overlay` all begin together.
+    Times are relative to the first request of a file. Each file starts at the last request of the previous
+    file; with `overlay` all files start at time 0.
     """
     converter = _Converter(request_filter, speed, class_patterns, tally)
     if overlay:
@@ -176,19 +181,19 @@
     def convert(self, path: Path, source_format: SourceFormat) -> Iterator[RecordedRequest]:
         first_s: float | None = None
         requests = read_requests(path, source_format, self.tally)
-        for request in sort_by_time(map(self._classified, requests), self.tally):
+        for request in sort_by_time(map(self._set_class, requests), self.tally):
             if first_s is None:
                 first_s = request.at_s
             request.at_s -= first_s
             reason = self.request_filter.rejection_reason(request)
             if reason is not None:
-                self.tally.left_out[reason] += 1
+                self.tally.skipped[reason] += 1
                 continue
-            self.tally.taken += 1
+            self.tally.imported += 1
             request.at_s = round((request.at_s - self.request_filter.begin_s) / self.speed, 9)
             yield request
 
-    def _classified(self, request: RecordedRequest) -> RecordedRequest:
+    def _set_class(self, request: RecordedRequest) -> RecordedRequest:
         if not request.class_name:
             matching = (name for pattern, name in self.class_patterns if pattern.search(request.statement))
             request.class_name = next(matching, "")
@@ -207,7 +212,7 @@
     for number, line in read_lines(file):
         where = f"{path}, line {number}"
         if line is None:
-            yield _SourceLine(where, UnusableRowError(f"over {MAX_LINE_BYTES} bytes"))
+            yield _SourceLine(where, UnusableRowError(f"longer than {MAX_LINE_BYTES} bytes"))
             continue
         if not line.strip():
             continue
@@ -228,7 +233,7 @@
     reader = csv.reader(text)
     names = next(reader, [])
     if "query" not in names:
-        raise TraceError(f"{path}, line 1: not CSVWithNames of the query log, it names no column `query`")
+        raise TraceError(f"{path}, line 1: not a query log in CSVWithNames: column `query` is missing")
     while True:
         where = f"{path}, line {reader.line_num + 1}"
         try:
@@ -244,7 +249,7 @@
 
 def _csv_content(row: list[str], names: list[str]) -> dict[str, Any] | UnusableRowError:
     if len(row) != len(names):
-        return UnusableRowError(f"{len(row)} columns where the names are {len(names)}")
+        return UnusableRowError(f"{len(row)} columns; the header has {len(names)}")
     if any("\udc80" <= char <= "\udcff" for cell in row for char in cell):
-        return UnusableRowError("not UTF-8")
+        return UnusableRowError("invalid UTF-8")
     return dict(zip(names, row, strict=True))
--- a/tests/experiments/test_experiment_file.py
+++ b/tests/experiments/test_experiment_file.py
@@ -1,4 +1,4 @@
-"""Experiments as files."""
+"""Reading of experiment files."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from lilacfront.experiments.experiment_file import ExperimentError, load
 
-SHIPPED = Path(__file__).parent.parent.parent / "deploy" / "experiments"
+EXPERIMENTS_DIRECTORY = Path(__file__).parent.parent.parent / "deploy" / "experiments"
 
 
 @pytest.mark.parametrize(
@@ -20,8 +20,8 @@
     ],
 )
 def test_error_in_an_experiment_names_its_key(tmp_path: Path, old: str, new: str, message: str) -> None:
-    for path in SHIPPED.glob("*.toml"):
+    for path in EXPERIMENTS_DIRECTORY.glob("*.toml"):
         (tmp_path / path.name).write_text(path.read_text().replace(old, new, 1))
-    with pytest.raises(ExperimentError) as caught:
+    with pytest.raises(ExperimentError) as error:
         load(tmp_path / "cold.toml")
-    assert message in str(caught.value)
+    assert message in str(error.value)
--- a/tests/experiments/test_pinned_simulation.py
+++ b/tests/experiments/test_pinned_simulation.py
@@ -1,4 +1,4 @@
-"""The shipped experiments, cut to a minute: all findings are held against a digest recorded before."""
+"""Findings of the experiments in deploy/, shortened to a minute, compared with recorded digests."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from lilacfront.experiments.experiment_file import load
 from lilacfront.experiments.simulation import Simulation
 
-SHIPPED = Path(__file__).parent.parent.parent / "deploy" / "experiments"
-SHORTENED_S = (
+EXPERIMENTS_DIRECTORY = Path(__file__).parent.parent.parent / "deploy" / "experiments"
+SHORTENED_SETTINGS = (
     ("seconds = 600.0", "seconds = 60.0"),
     ("seconds = 480.0", "seconds = 40.0"),
     ("at_s = 200.0", "at_s = 10.0"),
@@ -26,14 +26,17 @@
 
 
 def digest_of_findings(folder: Path, name: str) -> str:
-    for path in SHIPPED.glob("*.toml"):
+    for path in EXPERIMENTS_DIRECTORY.glob("*.toml"):
         text = path.read_text()
-        for long, short in SHORTENED_S:
+        for long, short in SHORTENED_SETTINGS:
             text = text.replace(long, short)
         (folder / path.name).write_text(text)
     findings = Simulation(load(folder / f"{name}.toml")).run()
     minutes = {
-        team: {minute: (figure.used, figure.served, figure.refused) for minute, figure in by_minute.items()}
+        team: {
+            minute: (figure.thread_seconds, figure.served, figure.rejected)
+            for minute, figure in by_minute.items()
+        }
         for team, by_minute in findings.minutes.items()
     }
     waits = [
@@ -48,17 +51,17 @@
         for wait in findings.waits
     ]
     accuracy = findings.accuracy()
-    everything = (
+    all_findings = (
         findings.sent,
         sorted(findings.outcomes.items()),
         sorted(findings.latency.items()),
         sorted(minutes.items()),
         waits,
-        (accuracy.accurate, accuracy.within_bounds, accuracy.count),
+        (accuracy.accurate_fraction, accuracy.within_bounds_fraction, accuracy.count),
     )
-    return hashlib.sha256(repr(everything).encode()).hexdigest()
+    return hashlib.sha256(repr(all_findings).encode()).hexdigest()
 
 
 @pytest.mark.parametrize(("name", "digest"), DIGESTS.items())
-def test_findings_are_as_recorded(tmp_path: Path, name: str, digest: str) -> None:
+def test_findings_match_the_recorded_digest(tmp_path: Path, name: str, digest: str) -> None:
     assert digest_of_findings(tmp_path, name) == digest
--- a/tests/load/test_compare.py
+++ b/tests/load/test_compare.py
@@ -12,23 +12,23 @@
 from lilacfront.load.measurements import Second
 
 
-def test_a_difference_is_told_from_chance() -> None:
+def test_significance_of_differences() -> None:
     random = np.random.default_rng(5)
 
     def run(factor: float) -> list[Second]:
-        made = []
+        seconds = []
         for n in range(60):
-            bins: dict[int, int] = {}
+            counts: dict[int, int] = {}
             for value in random.lognormal(-4, 0.5, 100) * factor * random.uniform(0.8, 1.25):
-                record_latency(bins, value)
-            made.append(Second(n, 100, {"served": 100}, encode_histogram(bins), 0.0))
-        return made
+                record_latency(counts, value)
+            seconds.append(Second(n, 100, {"served": 100}, encode_histogram(counts), 0.0))
+        return seconds
 
-    one, other, slower = run(1.0), run(1.0), run(1.3)
-    words = {d.name: d.verdict for d in compare_runs(one, other)}
-    assert words["p50"] == words["p99"] == "may be chance"
-    assert words["served"] == "the same"
-    found = {d.name: d for d in compare_runs(one, slower)}
-    assert found["p50"].verdict == "more than chance"
-    assert found["p50"].change.low > 0
-    assert "nothing can be said" in compare_runs(one[:5], slower)[0].verdict
+    baseline, equal, slower = run(1.0), run(1.0), run(1.3)
+    verdicts = {difference.name: difference.verdict for difference in compare_runs(baseline, equal)}
+    assert verdicts["p50"] == verdicts["p99"] == "not significant"
+    assert verdicts["served"] == "no difference"
+    differences = {difference.name: difference for difference in compare_runs(baseline, slower)}
+    assert differences["p50"].verdict == "significant"
+    assert differences["p50"].change.low > 0
+    assert "not compared" in compare_runs(baseline[:5], slower)[0].verdict
--- a/tests/load/test_histogram.py
+++ b/tests/load/test_histogram.py
@@ -14,12 +14,12 @@
 
 
 @given(st.lists(st.integers(1, 3_600_000_000), max_size=50))
-def test_our_slots_are_the_histograms_own(values: list[int]) -> None:
-    plain, bins = new_histogram(), dict[int, int]()
+def test_slots_are_those_of_hdr_histogram(values: list[int]) -> None:
+    expected, counts = new_histogram(), dict[int, int]()
     for value in values:
-        plain.record_value(value)
-        record_latency(bins, value / 1e6)
-    ours = merge_histograms([encode_histogram(bins)])
-    assert ours.get_total_count() == len(values)
-    for share in (0, 50, 90, 99.9, 100):
-        assert ours.get_value_at_percentile(share) == plain.get_value_at_percentile(share)
+        expected.record_value(value)
+        record_latency(counts, value / 1e6)
+    recorded = merge_histograms([encode_histogram(counts)])
+    assert recorded.get_total_count() == len(values)
+    for percent in (0, 50, 90, 99.9, 100):
+        assert recorded.get_value_at_percentile(percent) == expected.get_value_at_percentile(percent)
--- a/tests/load/test_pinned_load.py
+++ b/tests/load/test_pinned_load.py
@@ -1,4 +1,4 @@
-"""Schedules, results and traces of seeded plans, pinned byte by byte as SHA-256 digests."""
+"""Schedules, results and traces of seeded plans, compared with recorded SHA-256 digests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from lilacfront.lab.fault_model import parse_behaviour as parse_behaviour
+from lilacfront.lab.fault_model import parse_behaviour
 from lilacfront.load.plan import parse
 from lilacfront.load.result import merge_results
 from lilacfront.load.schedule import planned_duration_s, schedule
@@ -80,47 +80,47 @@
 not a request
 {"at":7.0,"statement":"SELECT 4","user":"a"}
 """
-SCHEDULES = {1: "9c8e07be2b585e9f", 3: "b37d807dcbc5cc64"}
-RUNS = {
+SCHEDULE_DIGESTS = {1: "9c8e07be2b585e9f", 3: "b37d807dcbc5cc64"}
+RESULT_DIGESTS = {
     ("clickhouse", "never"): "eb594ec7f783a44c",
     ("clickhouse", "at_once"): "1322783d0fc0aecb",
     ("clickhouse", "told"): "19802be7c0b516ce",
     ("platform", "told"): "650492ca7a28878d",
 }
-CONVERTED = {False: "52df8c32dd8d5b5d", True: "2a430f9fe5f3b5d6"}
+TRACE_DIGESTS = {False: "52df8c32dd8d5b5d", True: "2a430f9fe5f3b5d6"}
 
 
 def digest(data: bytes) -> str:
-    """The first 16 hex digits of SHA-256."""
+    """Returns the first 16 hex digits of the SHA-256 digest."""
     return hashlib.sha256(data).hexdigest()[:16]
 
 
 def plan_text(protocol: str = "clickhouse", retry: str = "never") -> bytes:
-    """The pinned plan."""
+    """Returns the plan of the recorded digests."""
     return PLAN.format(protocol=protocol, retry=retry).encode()
 
 
-@pytest.mark.parametrize("workers", SCHEDULES)
-def test_the_arrival_schedule_of_a_seed_is_the_saved_one(workers: int) -> None:
+@pytest.mark.parametrize("workers", SCHEDULE_DIGESTS)
+def test_schedule_matches_the_recorded_digest(workers: int) -> None:
     plan = parse(plan_text())
-    made = [
+    requests = [
         (
-            due.number,
-            due.due_s,
-            due.statement.decode(),
-            due.profile.class_name,
-            due.profile.user,
-            due.profile.timeout_s,
+            request.number,
+            request.due_s,
+            request.statement.decode(),
+            request.profile.class_name,
+            request.profile.user,
+            request.profile.timeout_s,
         )
         for rank in range(workers)
-        for due in schedule(plan, rank=rank, workers=workers)
+        for request in schedule(plan, rank=rank, workers=workers)
     ]
     assert planned_duration_s(plan) == 8.5
-    assert digest(msgspec.json.encode(made)) == SCHEDULES[workers]
+    assert digest(msgspec.json.encode(requests)) == SCHEDULE_DIGESTS[workers]
 
 
-@pytest.mark.parametrize(("protocol", "retry"), RUNS)
-def test_the_result_of_a_simulated_run_is_the_saved_one(protocol: str, retry: str) -> None:
+@pytest.mark.parametrize(("protocol", "retry"), RESULT_DIGESTS)
+def test_result_of_a_simulated_run_matches_the_recorded_digest(protocol: str, retry: str) -> None:
     plan = parse(plan_text(protocol, retry))
     run = simulate_run(plan, parse_behaviour(BEHAVIOUR.format(protocol=protocol).encode()))
     result = merge_results(
@@ -134,19 +134,20 @@
     encoded = [msgspec.json.format(msgspec.json.encode(result), indent=2)]
     encoded += [msgspec.json.encode(second) for second in run.seconds]
     encoded.append(msgspec.json.encode([run.measured, sorted(run.server_actions.items())]))
-    assert digest(b"\n".join(encoded)) == RUNS[protocol, retry]
+    assert digest(b"\n".join(encoded)) == RESULT_DIGESTS[protocol, retry]
 
 
-@pytest.mark.parametrize("overlay", CONVERTED)
-def test_a_converted_trace_has_the_saved_bytes(tmp_path: Path, overlay: bool) -> None:
+@pytest.mark.parametrize("overlay", TRACE_DIGESTS)
+def test_converted_trace_matches_the_recorded_digest(tmp_path: Path, overlay: bool) -> None:
     path = tmp_path / "a.jsonl"
     path.write_bytes(TRACE)
     tally = ImportTally()
     out = io.BytesIO()
-    wanted = RequestFilter(pattern=re.compile("SELECT"), begin_s=0.25, end_s=6.0)
-    named = [(re.compile("INSERT"), "load")]
+    request_filter = RequestFilter(pattern=re.compile("SELECT"), begin_s=0.25, end_s=6.0)
+    class_patterns = [(re.compile("INSERT"), "load")]
     files = [(path, "own"), (path, "own")]
-    count = write_trace(convert_traces(files, wanted, 1.5, named, tally, overlay), out, "a.jsonl")  # type: ignore[arg-type]
-    out.write(msgspec.json.encode([count, tally.read, tally.unusable, tally.left_out, tally.out_of_order]))
+    requests = convert_traces(files, request_filter, 1.5, class_patterns, tally, overlay)  # type: ignore[arg-type]
+    count = write_trace(requests, out, "a.jsonl")
+    out.write(msgspec.json.encode([count, tally.read, tally.unusable, tally.skipped, tally.out_of_order]))
     out.write("\n".join(line.replace(str(path), "FILE") for line in tally.shown_lines).encode())
-    assert digest(out.getvalue()) == CONVERTED[overlay]
+    assert digest(out.getvalue()) == TRACE_DIGESTS[overlay]
--- a/tests/load/test_plan.py
+++ b/tests/load/test_plan.py
@@ -1,9 +1,9 @@
-"""Plans: what is wrong names its key."""
+"""Validation of load plans."""
 
 from __future__ import annotations
 
 import pytest
-from load_builders import SIMPLE
+from load_builders import SIMPLE_PLAN
 
 from lilacfront.load.phases import PlanError
 from lilacfront.load.plan import parse
@@ -31,8 +31,8 @@
         ("workers = 1", "workers =", "not TOML: "),
     ],
 )
-def test_what_is_wrong_with_a_plan_names_its_key(old: str, new: str, message: str) -> None:
-    assert parse(SIMPLE.encode()).mix[0].statement == "SELECT 1"
-    with pytest.raises(PlanError) as problem:
-        parse(SIMPLE.replace(old, new).encode())
-    assert str(problem.value).startswith(message), problem.value
+def test_error_in_a_plan_names_the_key(old: str, new: str, message: str) -> None:
+    assert parse(SIMPLE_PLAN.encode()).mix[0].statement == "SELECT 1"
+    with pytest.raises(PlanError) as error:
+        parse(SIMPLE_PLAN.replace(old, new).encode())
+    assert str(error.value).startswith(message), f"the message is {error.value}"
--- a/tests/load/test_retry_policy.py
+++ b/tests/load/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""When a client makes a further attempt."""
+"""The retry policy of a client."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    ("retry", "ending", "told", "tries", "repeatable", "expected"),
+    ("retry", "end", "retry_after_s", "attempts", "idempotent", "expected"),
     [
         ("never", AttemptEnd.REJECTED, None, 1, True, None),
         ("at_once", AttemptEnd.SERVED, None, 1, True, None),
@@ -26,21 +26,28 @@
         ("told", AttemptEnd.REJECTED, 60.0, 1, False, None),
     ],
 )
-def test_when_an_attempt_is_made_again(
-    retry: Any, ending: AttemptEnd, told: float | None, tries: int, repeatable: bool, expected: float | None
+def test_time_of_the_next_attempt(
+    retry: Any,
+    end: AttemptEnd,
+    retry_after_s: float | None,
+    attempts: int,
+    idempotent: bool,
+    expected: float | None,
 ) -> None:
     import random
 
     client = ClientSettings(retry=retry, max_attempts=3, jitter=0.0, default_retry_after_s=0.5)
     assert (
-        next_attempt_at(client, AttemptResult(ending, told), tries, repeatable, 5.0, 10.0, random.Random(1))
+        next_attempt_at(
+            client, AttemptResult(end, retry_after_s), attempts, idempotent, 5.0, 10.0, random.Random(1)
+        )
         == expected
     )
     jittered = next_attempt_at(
         ClientSettings(retry=retry, jitter=0.5),
-        AttemptResult(ending, told),
-        tries,
-        repeatable,
+        AttemptResult(end, retry_after_s),
+        attempts,
+        idempotent,
         5.0,
         10.0,
         random.Random(1),
--- a/tests/load/test_trace_import.py
+++ b/tests/load/test_trace_import.py
@@ -1,4 +1,4 @@
-"""Traces from query logs."""
+"""Import of query logs and traces."""
 
 from __future__ import annotations
 
@@ -11,11 +11,10 @@
 from click.testing import CliRunner
 
 from lilacfront.cli import main
-from lilacfront.load.trace import RecordedRequest as Recorded
-from lilacfront.load.trace import TraceError, read_trace, write_trace
+from lilacfront.load.trace import RecordedRequest, TraceError, read_trace, write_trace
 from lilacfront.load.trace_import import ImportTally, RequestFilter, convert_traces, sort_by_time
 
-LOG = [
+QUERY_LOG_ROWS = [
     {"type": "QueryStart", "query": "SELECT 1", "query_start_time": "2026-01-01 00:00:00"},
     {
         "type": "QueryFinish",
@@ -35,11 +34,11 @@
 
 
 @pytest.mark.parametrize("form", ["json", "csv"])
-def test_the_query_log_comes_in_by_time_and_every_line_is_accounted_for(tmp_path: Path, form: str) -> None:
+def test_query_log_is_sorted_and_every_line_is_counted(tmp_path: Path, form: str) -> None:
     path, out = tmp_path / f"log.{form}", tmp_path / "trace.jsonl"
     if form == "json":
-        path.write_text("".join(json.dumps(row) + "\n" for row in LOG) + '{"cut": \n')
-        bad = [4, 5, 6, 8]
+        path.write_text("".join(json.dumps(row) + "\n" for row in QUERY_LOG_ROWS) + '{"cut": \n')
+        unusable = [4, 5, 6, 8]
     else:
         import csv
 
@@ -47,40 +46,43 @@
             names = ["type", "query", "query_start_time_microseconds"]
             writer = csv.DictWriter(file, names, extrasaction="ignore", restval="2026-01-01 00:00:00")
             writer.writeheader()
-            writer.writerows(LOG)
+            writer.writerows(QUERY_LOG_ROWS)
             file.write("QueryFinish,too,many,columns\n")
-        bad = [6, 7, 8, 10]  # the names take the first line, and one statement two
+        unusable = [6, 7, 8, 10]  # the header is line 1, and one statement spans two lines
     result = CliRunner().invoke(main, ["load", "import", str(path), "--out", str(out), "--speed", "2"])
     assert result.exit_code == 0, result.output
-    assert [(one.at_s, one.statement) for one in read_trace(out)] == [
+    assert [(request.at_s, request.statement) for request in read_trace(out)] == [
         (0.0, "SELECT 'a\n,b'"),
         (1.25, "SELECT 2"),
         (2.0, "SELECT 5"),
     ]
-    assert "8 lines read, 3 requests taken, 1 of them out of order" in result.output
-    assert "1 left out: the statement began, or never ran" in result.output
-    assert "4 unusable" in result.output
-    for number in bad:
+    assert "8 lines read, 3 requests imported, 1 of them out of order" in result.output
+    assert "1 skipped: not a finished statement" in result.output
+    assert "4 unusable lines" in result.output
+    for number in unusable:
         assert f"line {number}: " in result.output
 
 
-def test_traces_are_spliced_filtered_sorted_beyond_memory_and_refused_where_they_fall_back(
+def test_traces_are_joined_filtered_and_sorted_and_decreasing_times_are_rejected(
     tmp_path: Path,
 ) -> None:
     tally, random = ImportTally(), np.random.default_rng(3)
-    shuffled = [Recorded(float(at), f"SELECT {at}") for at in random.permutation(5000)]
-    ordered = list(sort_by_time(iter(shuffled), tally, spill_bytes=50_000))  # some twenty runs on disk
-    assert [one.at_s for one in ordered] == list(range(5000))
+    shuffled = [RecordedRequest(float(at), f"SELECT {at}") for at in random.permutation(5000)]
+    # 50 kB give about twenty sorted runs in temporary files.
+    ordered = list(sort_by_time(iter(shuffled), tally, spill_bytes=50_000))
+    assert [request.at_s for request in ordered] == list(range(5000))
     assert tally.out_of_order > 0
     first = tmp_path / "a.jsonl"
     with first.open("wb") as out:
-        write_trace([Recorded(at, "SELECT 1", user=user) for at, user in [(1, "a"), (2, "b"), (4, "a")]], out)
+        write_trace(
+            [RecordedRequest(at, "SELECT 1", user=user) for at, user in [(1, "a"), (2, "b"), (4, "a")]], out
+        )
     files: Any = [(first, "own"), (first, "own")]
     for overlay, times in ((False, [0, 3, 3, 6]), (True, [0, 0, 3, 3])):
         tally = ImportTally()
-        got = list(convert_traces(files, RequestFilter(users=frozenset("a")), 1.0, [], tally, overlay))
-        assert [one.at_s for one in got] == times
-        assert tally.left_out == {"another user": 2}
+        converted = list(convert_traces(files, RequestFilter(users=frozenset("a")), 1.0, [], tally, overlay))
+        assert [request.at_s for request in converted] == times
+        assert tally.skipped == {"another user": 2}
     lines = first.read_bytes().splitlines()
     first.write_bytes(b"\n".join([*lines, lines[1]]) + b"\n")
     with pytest.raises(TraceError, match="line 5: at 1"):
--- a/tests/load_builders.py
+++ b/tests/load_builders.py
@@ -12,7 +12,7 @@
 from lilacfront.load.result import Result, merge_results
 from lilacfront.load.simulated_run import SimulatedRun
 
-SIMPLE = """
+SIMPLE_PLAN = """
 seed = 11
 workers = 1
 [target]
@@ -29,26 +29,29 @@
 
 
 def plan(rate: float = 500.0, seconds: float = 4.0, protocol: str = "clickhouse", **changes: Any) -> Plan:
-    made = parse(SIMPLE.encode())
-    target = msgspec.structs.replace(made.target, protocol=protocol)
-    mix = [msgspec.structs.replace(made.mix[0], class_name="lookup")]
-    plain = {
+    """Returns a plan with one constant phase; `changes` replace fields of the plan."""
+    base = parse(SIMPLE_PLAN.encode())
+    target = msgspec.structs.replace(base.target, protocol=protocol)
+    mix = [msgspec.structs.replace(base.mix[0], class_name="lookup")]
+    defaults = {
         "target": target,
         "mix": mix,
         "phases": [ConstantPhase(rate=rate, seconds=seconds)],
         "connections": 1000,
     }
-    return msgspec.structs.replace(made, **{**plain, **changes})
+    return msgspec.structs.replace(base, **{**defaults, **changes})
 
 
-def outcomes(of: SimulatedRun) -> dict[str, int]:
-    return {group.outcome: group.count for group in of.measured.groups}
+def outcomes(run: SimulatedRun) -> dict[str, int]:
+    """Returns the number of requests by outcome."""
+    return {group.outcome: group.count for group in run.measured.groups}
 
 
-def judged(of: SimulatedRun, of_plan: Plan) -> Result:
+def result_of(run: SimulatedRun, run_plan: Plan) -> Result:
+    """Returns the result of a simulated run, with the checks for a void run."""
     return merge_results(
-        of_plan, [of.measured], started_at="", planned_seconds=0.0, partial=False, lost_workers=[]
+        run_plan, [run.measured], started_at="", planned_seconds=0.0, partial=False, lost_workers=[]
     )
 
 
-BOTH = pytest.mark.parametrize("protocol", ["clickhouse", "platform"])
+EACH_PROTOCOL = pytest.mark.parametrize("protocol", ["clickhouse", "platform"])
