--- a/lilacfront/load/accuracy.py
+++ b/lilacfront/load/accuracy.py
@@ -88,11 +88,11 @@
         behaviour += f"stalls = [{{ at_s = {1 + seconds / 3}, seconds = {stall_s} }}]\n"
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
-        start = runs.StartTime()
+        start = runs.StartTimeRecorder()
         with StandInProcesses(behaviour.encode(), workers, folder) as servers:
             text = plan_text(rate, seconds, workers, protocol, servers.addresses)
             result = runs.run_plan(text, folder, folder / "run", [], start)
-        actual = actual_latencies_ms(text, folder, servers.record_paths, start.begin)
+        actual = actual_latencies_ms(text, folder, servers.record_paths, start.start_time)
     if len(actual) != result.outcomes["served"]:
         raise CheckError(
             f"the generator counts {result.outcomes['served']} served requests, the stand-ins {len(actual)}"
@@ -131,28 +131,28 @@
 """.encode()
 
 
-def actual_latencies_ms(text: bytes, folder: Path, server_logs: list[Path], begin: float) -> Latencies:
+def actual_latencies_ms(text: bytes, folder: Path, server_logs: list[Path], start_time: float) -> Latencies:
     """Returns the actual latencies in milliseconds, ascending: from the due time to the stand-in's answer.
 
     Args:
         text: The plan as TOML.
         folder: The directory of the plan.
         server_logs: The log files of the stand-ins.
-        begin: The start of the run on the system's monotonic clock.
+        start_time: The start of the run on the system's monotonic clock.
     """
     due_times = {request.number: request.due_s for request in schedule(parse(text, folder), folder)}
     return latencies_ms(
-        due_times, (line for path in server_logs for line in path.read_bytes().splitlines()), begin
+        due_times, (line for path in server_logs for line in path.read_bytes().splitlines()), start_time
     )
 
 
-def latencies_ms(due_times: dict[int, float], lines: Iterable[bytes], begin: float) -> Latencies:
+def latencies_ms(due_times: dict[int, float], lines: Iterable[bytes], start_time: float) -> Latencies:
     """Returns the actual latencies in milliseconds, ascending, from due times and logged answers.
 
     Args:
         due_times: The due times in seconds after the start, by request number.
         lines: The log lines of the stand-ins.
-        begin: The start of the run on the clock of the log.
+        start_time: The start of the run on the clock of the log.
 
     Raises:
         KeyError: A request was answered twice, or was not in the schedule.
@@ -163,5 +163,5 @@
     for line in lines:
         record = decoder.decode(line)
         number = int(record.id.rpartition("-")[2]) if "-" in record.id else int(record.id[8:], 16)
-        latencies.append((record.ended_at - begin - unanswered.pop(number)) * MS_PER_S)
+        latencies.append((record.ended_at - start_time - unanswered.pop(number)) * MS_PER_S)
     return np.sort(np.array(latencies, dtype=np.float64))
--- a/lilacfront/load/cli.py
+++ b/lilacfront/load/cli.py
@@ -69,7 +69,7 @@
         self._bar = bar
         self._task = bar.add_task("load", total=1.0)
 
-    def started(self, begin: float) -> None:
+    def started(self, start_time: float) -> None:
         """Does nothing: the first progress report updates the bar."""
 
     def progressed(self, elapsed_s: float, planned_s: float, progress: RunProgress) -> None:
@@ -149,9 +149,11 @@
 @click.option("--user", "users", multiple=True, help="Keep only requests of this user; may be repeated.")
 @click.option("--class", "classes", multiple=True, help="Keep only requests of this class; may be repeated.")
 @click.option("--match", help="Keep only requests whose statement matches this regular expression.")
-@click.option("--from", "begin", type=float, default=0.0, help="Keep requests from this second of each file.")
 @click.option(
-    "--to", "end", type=float, default=float("inf"), help="Keep requests before this second of each file."
+    "--from", "begin_s", type=float, default=0.0, help="Keep requests from this second of each file."
+)
+@click.option(
+    "--to", "end_s", type=float, default=float("inf"), help="Keep requests before this second of each file."
 )
 @click.option(
     "--class-of",
@@ -168,8 +170,8 @@
     users: tuple[str, ...],
     classes: tuple[str, ...],
     match: str | None,
-    begin: float,
-    end: float,
+    begin_s: float,
+    end_s: float,
     class_of: tuple[str, ...],
     overlay: bool,
 ) -> None:
@@ -177,7 +179,7 @@
     tally = ImportTally()
     try:
         pattern = re.compile(match) if match else None
-        request_filter = RequestFilter(frozenset(users), frozenset(classes), pattern, begin, end)
+        request_filter = RequestFilter(frozenset(users), frozenset(classes), pattern, begin_s, end_s)
         class_patterns = [_class_pattern(text) for text in class_of]
         sources = [(path, form or FORMAT_BY_SUFFIX.get(path.suffix, "own")) for path in files]
         requests = convert_traces(sources, request_filter, speed, class_patterns, tally, overlay)
--- a/lilacfront/load/connection_pool.py
+++ b/lilacfront/load/connection_pool.py
@@ -81,7 +81,7 @@
         self._waiting: deque[OpenRequest] = deque()
 
     def submit(self, request: OpenRequest) -> bool:
-        """Sends a request, or queues it connect_deadline a connection is available.
+        """Sends a request, or queues it until a connection is available.
 
         Returns:
             False if the queue is full and the request was dropped. The limit bounds the memory if the target
--- a/lilacfront/load/run.py
+++ b/lilacfront/load/run.py
@@ -41,8 +41,8 @@
 class RunObserver(Protocol):
     """Receives the start and the progress of a run."""
 
-    def started(self, begin: float) -> None:
-        """Receives the start time of the run, `begin`, on the system's monotonic clock."""
+    def started(self, start_time: float) -> None:
+        """Receives the start time of the run on the system's monotonic clock."""
         ...
 
     def progressed(self, elapsed_s: float, planned_s: float, progress: Progress) -> None:
@@ -51,14 +51,14 @@
 
 
 @dataclass(slots=True)
-class StartTime:
+class StartTimeRecorder:
     """A RunObserver that stores the start time and ignores progress."""
 
-    begin: float = 0.0
+    start_time: float = 0.0
 
-    def started(self, begin: float) -> None:
+    def started(self, start_time: float) -> None:
         """Stores the start time."""
-        self.begin = begin
+        self.start_time = start_time
 
     def progressed(self, elapsed_s: float, planned_s: float, progress: Progress) -> None:
         """Ignores progress."""
@@ -109,10 +109,10 @@
     (out / PLAN_FILE).write_bytes(text)
     workers = _start_workers(plan, folder, out)
     with _cleaning_up(workers), _sigterm_as_interrupt():
-        started_at, begin = _start_run(workers)
-        observer = observer or StartTime()
-        observer.started(begin)
-        interrupted = _wait_for_workers(workers, begin, planned_s, observer)
+        started_at, start_time = _start_run(workers)
+        observer = observer or StartTimeRecorder()
+        observer.started(start_time)
+        interrupted = _wait_for_workers(workers, start_time, planned_s, observer)
     result = merge_results(
         plan,
         [worker.measured for worker in workers if worker.measured is not None],
@@ -185,19 +185,21 @@
             worker.pipe.recv_bytes()
         except EOFError:
             raise RunError(f"worker {worker.rank} exited before the start") from None
-    begin = time.monotonic() + START_DELAY_S
+    start_time = time.monotonic() + START_DELAY_S
     for worker in workers:
-        worker.pipe.send_bytes(repr(begin).encode())
-    return datetime.now(UTC).isoformat(timespec="milliseconds"), begin
+        worker.pipe.send_bytes(repr(start_time).encode())
+    return datetime.now(UTC).isoformat(timespec="milliseconds"), start_time
 
 
-def _wait_for_workers(workers: list[_Worker], begin: float, planned_s: float, observer: RunObserver) -> bool:
+def _wait_for_workers(
+    workers: list[_Worker], start_time: float, planned_s: float, observer: RunObserver
+) -> bool:
     """Receives messages until all workers have ended; returns whether the run was interrupted."""
     interrupted = False
     while not all(worker.ended for worker in workers):
         try:
             _receive(workers)
-            observer.progressed(time.monotonic() - begin, planned_s, _total_progress(workers))
+            observer.progressed(time.monotonic() - start_time, planned_s, _total_progress(workers))
         except KeyboardInterrupt:
             if interrupted:
                 raise
--- a/lilacfront/load/sender.py
+++ b/lilacfront/load/sender.py
@@ -112,13 +112,13 @@
         """Starts each request at its due time; runs as a task."""
         batch = 0
         for scheduled in requests:
-            due = self.start + scheduled.due_s
-            while self.loop.clock() < due and not self.stopped:
+            due_at = self.start + scheduled.due_s
+            while self.loop.clock() < due_at and not self.stopped:
                 batch = 0
-                self.loop.wait(task, min(due, self.loop.now + MAX_PACER_WAIT_S))
+                self.loop.wait(task, min(due_at, self.loop.now + MAX_PACER_WAIT_S))
             if self.stopped:
                 break
-            self._start_request(scheduled, self.loop.now - due)
+            self._start_request(scheduled, self.loop.now - due_at)
             batch += 1
             if batch >= BATCH_REQUESTS:
                 # If sending lags, answers must still be read, or the lag would count as latency.
--- a/lilacfront/load/simulated_run.py
+++ b/lilacfront/load/simulated_run.py
@@ -33,14 +33,14 @@
         seconds: The measurements by second.
         server_actions: The number of requests by the stand-in's action.
         server_log: The log of the stand-in, one line per answer.
-        begin: The start of the run on the virtual clock.
+        start_time: The start of the run on the virtual clock.
     """
 
     measured: WorkerMeasurements
     seconds: list[Second]
     server_actions: Counter[str]
     server_log: bytes
-    begin: float
+    start_time: float
 
 
 def simulate_run(
@@ -67,8 +67,8 @@
     recorder = Recorder(seconds_file, plan.max_timeout_s)
     codecs = codec_factory(plan, RUN_TOKEN)
     sender = Sender(loop, plan, plan.connections, [standin.address], codecs, recorder)
-    begin = loop.now
-    sender.run(schedule(plan), begin)
+    start_time = loop.now
+    sender.run(schedule(plan), start_time)
     ended_at = 0.0
 
     def is_done() -> bool:
@@ -90,4 +90,4 @@
         loop.close()
     measured = recorder.close(0, [], ended_at)
     seconds = list(merge_seconds([seconds_file.getvalue().splitlines()]))
-    return SimulatedRun(measured, seconds, standin.action_counts, server_log.getvalue(), begin)
+    return SimulatedRun(measured, seconds, standin.action_counts, server_log.getvalue(), start_time)
--- a/lilacfront/load/worker.py
+++ b/lilacfront/load/worker.py
@@ -100,10 +100,10 @@
     def run(self) -> None:
         requests = self._requests()
         self._pipe.send_bytes(READY)
-        begin = float(self._pipe.recv_bytes())
+        start_time = float(self._pipe.recv_bytes())
         self._loop.watch(self._pipe.fileno(), POLLIN, self._on_message)
         _tune_garbage_collection()
-        self._sender.run(requests, begin)
+        self._sender.run(requests, start_time)
         self._loop.spawn(self._report)
         self._run_until_done()
         if not self._parent_exited:
--- a/tests/load/test_simulated_runs.py
+++ b/tests/load/test_simulated_runs.py
@@ -29,7 +29,7 @@
     load_plan = plan(protocol=protocol, seconds=6.0)
     run = simulate_run(load_plan, behaviour(text.encode()))
     due_times = {request.number: request.due_s for request in schedule(load_plan)}
-    actual = latencies_ms(due_times, run.server_log.splitlines(), run.begin)
+    actual = latencies_ms(due_times, run.server_log.splitlines(), run.start_time)
     assert len(actual) == run.measured.counters.answered == len(due_times) == sum(outcomes(run).values())
     reported = percentiles_ms(merge_histograms(group.intended for group in run.measured.groups))
     for name, percent in PERCENTILES.items():
