--- a/lilacfront/load/sender.py
+++ b/lilacfront/load/sender.py
@@ -121,7 +121,7 @@
             self._start_request(scheduled, self.loop.now - due_at)
             batch += 1
             if batch >= BATCH_REQUESTS:
-                # If sending lags, answers must still be read, or the lag would count as latency.
+                # If sending lags, answers must still be read, or the lag would count as the target's latency.
                 batch = 0
                 self.loop.wait(task, self.loop.now + YIELD_S)
         self._all_started = True
