--- a/lilacfront/frontends/connection_handover.py
+++ b/lilacfront/frontends/connection_handover.py
@@ -38,7 +38,7 @@
     """A connection that was transferred to or from this process with requests in flight."""
 
     def complete_remote(self, seqid: int, frame: bytes) -> None:
-        """Write the answer of a request that the process the connection came from has served."""
+        """Write the answer to a request that was served by the process that the connection came from."""
 
     def cancel_transferred(self, seqid: int | None) -> None:
         """Cancel a request that the client no longer waits for; None: cancel all of them."""
@@ -198,7 +198,7 @@
             self._destination = None
 
     def drop(self, key: TransferKey) -> bool:
-        """Forget a process that has ended; return whether it was the one that has the connection now."""
+        """Remove the key of a process that has ended; return whether the connection was transferred to it."""
         if key == self._destination:
             self._destination = None
             return True
--- a/lilacfront/sched/chunk.py
+++ b/lilacfront/sched/chunk.py
@@ -14,7 +14,7 @@
     Attributes:
         data: The queued bytes, including those that have been sent.
         sent: The number of bytes that the kernel has accepted.
-        withdrawn: Whether the chunk has been withdrawn; none of its bytes has been or will be sent.
+        withdrawn: Whether the chunk has been withdrawn. If so, none of its bytes has been or will be sent.
         permit: Returns whether the first byte may be sent now; None if no permit is needed.
     """
 
--- a/lilacfront/sched/loop.py
+++ b/lilacfront/sched/loop.py
@@ -24,7 +24,8 @@
 from lilacfront.logs import Log
 
 log = Log(__name__)
-# The number of timers of ended waits in the heap, beyond the number of active ones, that causes a rebuild.
+# Timers of ended waits stay in the heap. It is rebuilt without them when they outnumber the active timers by
+# more than this.
 MAX_STALE_TIMERS = 256
 # The longest time that one poll may block, so that a lost wake-up can't stall the program.
 MAX_POLL_S = 1.0
@@ -69,7 +70,7 @@
             log.exception("a task failed")
 
     def interrupt(self) -> None:
-        """End the current wait of the task, or its next wait if the task is running."""
+        """End the current wait of the task and every later one, until `clear_interruption` is called."""
         self.interrupted = True
         self.wake(Interrupted)
 
@@ -78,7 +79,7 @@
         self.interrupted = False
 
     def wake(self, value: object, ticket: int | None = None) -> None:
-        """End the current wait with a value.
+        """End the current wait with a value; does nothing if the task is not waiting.
 
         Args:
             value: The return value of the wait.
@@ -115,7 +116,7 @@
     Attributes:
         hub: The greenlet of the loop itself.
         now: The time of the current turn, in seconds.
-        ready: The tasks to run in this turn, each with the return value of its wait.
+        ready: The tasks to run next, each with the return value of its wait.
         pending_flushes: The flushes to call at the end of this turn, in the order of insertion.
         unflushed_streams: The streams that wait until the kernel accepts more of their queued bytes.
         queued_bytes: The number of bytes that are queued on all streams together.
@@ -167,7 +168,10 @@
         return self.now
 
     def spawn(self, run: Callable[..., None], *args: Any) -> Task:
-        """Create a task that runs `run(task, *args)`; it starts within this turn."""
+        """Create a task that runs `run(task, *args)`.
+
+        It starts within this turn, or in the next one if it is created by a flush or between two turns.
+        """
         task = Task(self, run, args)
         self.ready.append((task, None))
         return task
--- a/lilacfront/sched/stream.py
+++ b/lilacfront/sched/stream.py
@@ -222,6 +222,7 @@
     def is_idle(self) -> bool:
         """Whether the connection is open and has no unread bytes."""
         try:
+            # The peek returns one unread byte, or none after a close by the peer; both mean "not idle".
             return not self.closed and len(self.sock.recv(1, socket.MSG_PEEK)) > 1
         except BlockingIOError:
             return True
@@ -232,7 +233,8 @@
         """Queue bytes, to be sent at the end of this turn if there is no `permit` or it returns True then.
 
         If more than `max_queued_bytes` are queued after this write, the peer is disconnected, so that a peer
-        that does not read can't use up the memory of this process.
+        that does not read can't use up the memory of this process. On a closed stream nothing is queued, and
+        the returned chunk is never sent.
         """
         chunk = Chunk(data, permit)
         if self.closed:
--- a/lilacfront/simulator/adapter.py
+++ b/lilacfront/simulator/adapter.py
@@ -47,7 +47,10 @@
         return encode_reply(actions)
 
     def _handle(self, clock_us: int, record: Record, actions: list[bytes]) -> None:
-        """Handle one record and append the resulting actions, encoded, to `actions`."""
+        """Handle one record and append the resulting actions, encoded, to `actions`.
+
+        Events for a gateway that is not running are ignored.
+        """
         match record:
             case GatewayEvent(gateway, event):
                 if (router := self._routers.get(gateway)) is not None:
--- a/lilacfront/simulator/batch_decoder.py
+++ b/lilacfront/simulator/batch_decoder.py
@@ -82,6 +82,7 @@
     2: NotificationKind.SPILLING,
     3: NotificationKind.WAITING_FOR_MEMORY,
 }
+# A notification with this code reports a wait for a load if it has the value below, else a wait for memory.
 WAITING_CODE = 3
 WAITING_FOR_LOAD_VALUE = 2
 HAS_ESTIMATE_FLAG = 1
@@ -196,8 +197,8 @@
     """Decodes the records of batches.
 
     Attributes:
-        endpoint_lists: Endpoint lists by the number that records refer to them by. A later list with the same
-            number replaces an earlier one.
+        endpoint_lists: Endpoint lists, by the number with which records refer to them. A later list with the
+            same number replaces an earlier one.
         report_fields: The names of the values in the load reports of a gateway, in order, by gateway number.
     """
 
--- a/lilacfront/upstream/resp.py
+++ b/lilacfront/upstream/resp.py
@@ -30,10 +30,10 @@
     Attributes:
         class_names: Names of the request classes at the engines, by class index.
         max_connections: Maximum number of open connections to all engines together.
-        max_connections_per_engine: Maximum number of connections from this gateway to one engine. It is a
-            share of `MAX_CONNECTIONS_PER_ENGINE`, so that many gateways do not fill an engine's connection
-            table. Up to this number each attempt gets its own connection, since a reset ends all attempts on
-            a connection.
+        max_connections_per_engine: Number of connections from this gateway to one engine up to which each
+            attempt gets its own connection, since a reset ends all attempts on a connection. Beyond it a
+            connection is opened only if no open one can take the attempt. It is a share of
+            `MAX_CONNECTIONS_PER_ENGINE`, so that many gateways do not fill an engine's connection table.
     """
 
     def __init__(
--- a/lilacfront/upstream/resp_connection.py
+++ b/lilacfront/upstream/resp_connection.py
@@ -63,7 +63,8 @@
         answered_calls: Time of the end of each answered attempt of which a duplicate answer may still be
             received, by call id.
         waiting_attempts: Number of attempts that wait for the connection to be established.
-        idle_since: Time at which the last attempt ended.
+        idle_since: Time at which the latest attempt ended; before the first end, time at which the connection
+            was created or established.
     """
 
     def __init__(
@@ -248,7 +249,7 @@
         call_id, kind, fields, body = words
         attempt = self.open_attempts.get(call_id)
         if attempt is None:
-            return  # an answer to a cancelled or unknown attempt
+            return  # the attempt was cancelled or already answered, or is unknown
         reply = Reply(kind, parse_fields(fields), body)
         if attempt.result.accept(reply):
             attempt.inbox.put(reply)
--- a/tests/core/test_endpoints.py
+++ b/tests/core/test_endpoints.py
@@ -9,15 +9,15 @@
 
 
 def test_no_state_is_kept_for_removed_engines() -> None:
-    stage = Harness(ThriftResp(), engines=0)
+    harness = Harness(ThriftResp(), engines=0)
     try:
         for number in range(100):
             for state in ("ready", "gone"):
-                entry = {**stage.entry("W1", state), "instanceId": f"s-{number}"}
-                stage.server.receive_update(msgspec.convert({"instances": [entry]}, EndpointUpdate))
-        dispatcher = stage.server.dispatcher
-        assert not stage.server.endpoint_feed.registry.addresses
+                entry = {**harness.entry("W1", state), "instanceId": f"s-{number}"}
+                harness.server.receive_update(msgspec.convert({"instances": [entry]}, EndpointUpdate))
+        dispatcher = harness.server.dispatcher
+        assert not harness.server.endpoint_feed.registry.addresses
         assert dispatcher.ready_engine_count == 0
         assert not dispatcher.router.state.engines
     finally:
-        stage.close()
+        harness.close()
--- a/tests/crossing_harness.py
+++ b/tests/crossing_harness.py
@@ -23,6 +23,7 @@
 WAREHOUSES = ("W1", "W2")
 CHANGE_LOG = "L"
 SECOND_CHANGE_LOG = "M"
+# The tags of the clients' first and further requests, in the order of CLIENTS; see `ThriftResp`.
 TAGS = "abc"
 FOLLOW_UP_TAGS = "def"
 STATEMENT = "select x from sales_17.orders"
@@ -50,7 +51,10 @@
 
 @contextlib.contextmanager
 def running_harness(path: Callable[[], Dialect], engines: int = 2, **changes: Any) -> Iterator[Harness]:
-    """Start a front end with a long connect timeout. Its warehouses read all of their connections."""
+    """Start a front end whose connects to warehouses time out after 1.5 s, longer than tests delay them.
+
+    Its warehouses read all of their connections.
+    """
     limits = {**SETTINGS["policy-limits"], "connect-timeout": 1_500_000}
     settings = {**SETTINGS, "policy-limits": limits, **changes.pop("settings", {})}
     harness = Harness(path(), engines=engines, settings=settings, **changes)
--- a/tests/crossings/test_client_disconnects.py
+++ b/tests/crossings/test_client_disconnects.py
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(("path", "how"), DISCONNECTS_AND_CONTROL)
-def test_client_that_disconnects_while_the_upstream_connects_is_not_forwarded(
+def test_request_is_not_forwarded_if_its_client_disconnects_while_the_upstream_connects(
     path: Callable[[], Dialect], how: Disconnect
 ) -> None:
     with running_harness(path) as harness:
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(("path", "how"), DISCONNECTS)
-def test_client_that_disconnects_in_the_turn_the_upstream_connects_is_not_forwarded(
+def test_request_is_not_forwarded_if_its_client_disconnects_in_the_turn_the_upstream_connects(
     path: Callable[[], Dialect], how: Disconnect
 ) -> None:
     """One poll reports both events, so the permit must be checked when the bytes are about to be written."""
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(("path", "how"), DISCONNECTS_AND_CONTROL)
-def test_client_that_disconnects_between_attempts_is_not_retried(
+def test_request_is_not_retried_if_its_client_disconnects_between_attempts(
     path: Callable[[], Dialect], how: Disconnect
 ) -> None:
     with running_harness(path) as harness:
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("how", CLOSES_AND_CONTROL)
-def test_client_that_disconnects_after_malformed_bytes_is_not_retried(how: Disconnect) -> None:
+def test_request_is_not_retried_if_its_client_disconnects_after_malformed_bytes(how: Disconnect) -> None:
     """After malformed bytes, requests in flight have 0.7 s left; a disconnect must be detected meanwhile."""
     with running_harness(ThriftResp) as harness:
         send_requests(harness, on_one_connection=True)
@@ -119,7 +119,9 @@
 
 
 @pytest.mark.parametrize("how", CLOSES_AND_CONTROL)
-def test_http_client_that_disconnects_behind_a_full_read_buffer_is_not_retried(how: Disconnect) -> None:
+def test_http_request_is_not_retried_if_its_client_disconnects_with_a_full_read_buffer(
+    how: Disconnect,
+) -> None:
     with running_harness(Http) as harness:
         send_requests(harness)
         for client in CLIENTS:
@@ -174,6 +176,7 @@
 
 def test_attempt_queued_behind_a_full_connection_is_dropped_when_its_client_disconnects() -> None:
     """Another request's bytes fill the connection; the clients disconnect before the queue drains."""
+    # With 18 front ends each opens one connection to an engine, so all attempts share it.
     settings = {"policy-limits": {**SETTINGS["policy-limits"], "connect-timeout": 1_500_000}, "instances": 18}
     clients = ("C2", "C3", "C4")
     with running_harness(ThriftResp, engines=1, settings=settings) as harness:
--- a/tests/crossings/test_graceful_shutdown.py
+++ b/tests/crossings/test_graceful_shutdown.py
@@ -54,7 +54,11 @@
 def test_request_completed_around_a_shutdown_step_is_answered(
     path: Callable[[], Dialect], step_s: float, offset_s: float
 ) -> None:
-    """A connection with a partial request must stay open until the request is answered."""
+    """A connection with a partial request must stay open until the request is answered.
+
+    The rest of the request arrives up to 20 ms before or after `step_s`, in seconds since SIGTERM. The
+    listener closes 0.8 s after SIGTERM, and idle connections close shortly afterwards.
+    """
     with running_harness(path) as harness:
         leave_idle_connections(harness)
         requests = [follow_up(harness, index) for index in range(3)]
--- a/tests/crossings/test_paused_connections.py
+++ b/tests/crossings/test_paused_connections.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("how", [Disconnect.NONE, *CLOSES, Disconnect.ABORT])
 @pytest.mark.parametrize("has_unread", [False, True], ids=["nothing unread", "unread requests"])
-def test_client_that_disconnects_a_paused_connection_is_not_retried(
+def test_request_is_not_retried_if_its_client_disconnects_a_paused_connection(
     how: Disconnect, has_unread: bool
 ) -> None:
     """A disconnect must be detected during the pause. In the control case the requests are forwarded."""
@@ -83,7 +83,7 @@
         assert forwarded_attempts(harness) == 3
 
 
-def test_requests_received_during_a_pause_are_answered_when_the_connection_times_out() -> None:
+def test_requests_received_during_a_pause_are_answered_when_pending_requests_are_failed() -> None:
     with running_harness(ThriftResp) as harness:
         fill_paused_connection(harness)
         slot = next(iter(harness.server.listeners[0].slots))
--- a/tests/play/__init__.py
+++ b/tests/play/__init__.py
@@ -1,4 +1,4 @@
-"""Replays exchanges from text files against a front end, over real sockets and with a clock of the test.
+"""Replays exchanges from text files against a front end, over real sockets and with a controlled clock.
 
 A step is a line `ACTOR VERB REST`. A following line that begins with `|` is appended to the step and ended by
 CR LF; one that begins with `.` is appended as it is. The actors are clients (C1, C2 …), warehouses (W1, W2),
--- a/tests/play/clock.py
+++ b/tests/play/clock.py
@@ -38,7 +38,10 @@
         self.after_next_poll: Callable[[], None] | None = None
 
     def register(self, descriptor: int, mask: int) -> None:
-        """Register a descriptor; with `delays_connects`, the events of a connecting one are delayed."""
+        """Register a descriptor; with `delays_connects`, the events of a connecting one are delayed.
+
+        A descriptor that is watched for POLLOUT only is taken to be connecting.
+        """
         if self.delays_connects and mask == select.POLLOUT:
             self.delayed_descriptors.add(descriptor)
         self.poll_object.register(descriptor, mask)
--- a/tests/play/etcd.py
+++ b/tests/play/etcd.py
@@ -9,6 +9,7 @@
 from play.settings import INSTANCE_IDS
 from play.thrift_resp import ThriftResp
 
+# The keys are base64 for the range from `/warehouses/` up to, but not including, `/warehouses0`.
 RANGE_JSON = b'{"key":"L3dhcmVob3VzZXMv","range_end":"L3dhcmVob3VzZXMw"}'
 WATCH_JSON = (
     b'{"create_request":{"key":"L3dhcmVob3VzZXMv","range_end":"L3dhcmVob3VzZXMw","start_revision":"%s"}}'
--- a/tests/server/test_large_fleet.py
+++ b/tests/server/test_large_fleet.py
@@ -19,7 +19,7 @@
 
 FLEET_SIZE = 1024
 REQUESTS = 400
-# Half of the smallest memory limit, minus the memory of the interpreter and the libraries.
+# Half of the smallest memory limit of 32 MB, minus the memory of the interpreter and the libraries.
 MAX_CURRENT_BYTES = 6 << 20
 MAX_PEAK_BYTES = 8 << 20
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -18,17 +18,17 @@
 }
 
 
-def frame(clock: int, *records: bytes) -> bytes:
+def encode_batch(clock: int, *records: bytes) -> bytes:
     body = b"".join(records)
     return struct.pack(">IIQ", len(records), 16 + len(body), clock) + body
 
 
-def start(gateway: int, config: dict[str, Any] = SETTINGS) -> bytes:
+def start_record(gateway: int, config: dict[str, Any] = SETTINGS) -> bytes:
     text = json.dumps(config).encode()
     return struct.pack(">BIQI", 8, gateway, 1, len(text)) + text
 
 
-def endpoints(gateway: int) -> tuple[bytes, bytes]:
+def endpoint_records(gateway: int) -> tuple[bytes, bytes]:
     entry = struct.pack(">Q6sHBBBf", 0, b"\x0a\0\0\1\x1f\x40", 0, 2, 0, 0, 1.0)
     return struct.pack(">BHI", 7, 0, 1) + entry, struct.pack(">BIBQH", 9, gateway, 1, 1, 0)
 
@@ -50,11 +50,11 @@
 def test_many_gateways_are_hosted_until_the_input_ends() -> None:
     gateway_stopped = struct.pack(">BI", 6, 0)
     done = run_adapter(
-        frame(5)
-        + frame(9, start(0), *endpoints(0), start(1), *endpoints(1))
-        + frame(10, request_record(0, 1), request_record(1, 2))
-        + frame(11, gateway_stopped, start(0), *endpoints(0), request_record(0, 3))
-        + frame(12, request_record(7, 4))
+        encode_batch(5)
+        + encode_batch(9, start_record(0), *endpoint_records(0), start_record(1), *endpoint_records(1))
+        + encode_batch(10, request_record(0, 1), request_record(1, 2))
+        + encode_batch(11, gateway_stopped, start_record(0), *endpoint_records(0), request_record(0, 3))
+        + encode_batch(12, request_record(7, 4))
     )
     assert done.returncode == 0
     assert done.stderr == b""
@@ -76,13 +76,22 @@
     "data",
     [
         b"\0\0",
-        frame(5)[:-1] + b"",
+        encode_batch(5)[:-1] + b"",
         struct.pack(">IIQ", 1, 99, 0),
-        frame(5, b"\x63\0\0\0\1"),
-        frame(5, b"\x04\0\0"),
+        encode_batch(5, b"\x63\0\0\0\1"),
+        encode_batch(5, b"\x04\0\0"),
         struct.pack(">IIQ", 0, 17, 0) + b"x",
         struct.pack(">IIQ", 0, 3, 0),
     ],
+    ids=[
+        "partial header",
+        "header without its last byte",
+        "batch shorter than stated",
+        "unknown record code",
+        "partial record",
+        "bytes without a record",
+        "length below the header's own",
+    ],
 )
 def test_malformed_input_ends_the_program_with_an_error_line_and_exit_status(data: bytes) -> None:
     done = run_adapter(data)
@@ -92,7 +101,7 @@
 
 
 def test_exception_in_a_gateway_is_reported() -> None:
-    done = run_adapter(frame(9, start(0, {"classes": []})))
+    done = run_adapter(encode_batch(9, start_record(0, {"classes": []})))
     assert done.returncode == 0
     assert b"classes is empty" in done.stdout
     assert done.stdout[4:9] == struct.pack(">BI", 74, 0)
