--- a/lilacfront/demo.py
+++ b/lilacfront/demo.py
@@ -19,7 +19,7 @@
 from lilacfront.errors import LilacfrontError
 from lilacfront.lab.process import StandInProcesses
 from lilacfront.load.cli import run_and_print
-from lilacfront.load.report import write_report as write_report
+from lilacfront.load.report import write_report
 
 STANDIN_BEHAVIOUR = b"""
 protocol = "clickhouse"
@@ -186,7 +186,13 @@
     show_default=True,
     help="Configuration file for the gateway; its warehouses are replaced.",
 )
-@click.option("--seconds", type=click.FloatRange(4, 3600), default=15.0, show_default=True)
+@click.option(
+    "--seconds",
+    type=click.FloatRange(4, 3600),
+    default=15.0,
+    show_default=True,
+    help="Duration of the load.",
+)
 def demo(out: Path, config: Path, seconds: float) -> None:
     """Run two stand-in warehouses, a gateway with a ClickHouse front end, and load against it."""
     folders = (out / f"run-{n}" for n in count(1))
--- a/lilacfront/experiments/cli.py
+++ b/lilacfront/experiments/cli.py
@@ -55,7 +55,7 @@
 
 
 def latency_table(findings: Findings) -> Table:
-    """Latency by team and class."""
+    """Returns a table of the latency by team and class."""
     percentiles = tuple(f"p{percentile}" for percentile in PERCENTILES)
     table = _table("seconds from arrival to answer", ("team", "class"), ("served", *percentiles))
     for (team, class_name), latencies in sorted(findings.latency.items()):
@@ -65,7 +65,7 @@
 
 
 def budget_table(experiment: Experiment, findings: Findings) -> Table:
-    """Thread-seconds per second used in each minute, for teams with a budget."""
+    """Returns a table of the thread-seconds per second used in each minute, for teams with a budget."""
     table = _table("thread-seconds per second, by minute", ("team", "budget", "minutes"), ())
     for name, team in sorted(experiment.teams.teams.items()):
         if team.budget_rate is not None:
@@ -76,7 +76,7 @@
 
 
 def wait_table(findings: Findings) -> Table:
-    """Accuracy of the estimated waits, by team."""
+    """Returns a table of the accuracy of the estimated waits, by team."""
     figure_columns = ("count", "within 25% or 20 ms", "within bounds")
     table = _table("estimated against actual queue waits", ("team", "waits"), figure_columns)
     for team in ("", *sorted({wait.team for wait in findings.waits})):
--- a/lilacfront/experiments/experiment_file.py
+++ b/lilacfront/experiments/experiment_file.py
@@ -50,7 +50,10 @@
 
 
 class FaultEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """[[trouble]]: a fault. From `at_s` on, the engine runs at `speed` for `seconds`; at 0 it is down."""
+    """[[trouble]]: a fault of an engine, from `at_s` on, for `seconds`.
+
+    During the fault the engine runs at `speed` times its normal speed; at speed 0 it is down.
+    """
 
     engine: str
     at_s: Annotated[float, Meta(ge=0)]
--- a/lilacfront/experiments/findings.py
+++ b/lilacfront/experiments/findings.py
@@ -10,7 +10,9 @@
 
 @dataclass(slots=True)
 class MinuteFigures:
-    """The figures of one team in one minute. A request counts in the minute of its admission or rejection.
+    """The figures of one team in one minute.
+
+    An admitted request counts in the minute of its admission, any other in the minute of its arrival.
 
     Attributes:
         thread_seconds: The actual thread-seconds of the requests admitted in this minute.
--- a/lilacfront/experiments/simulation.py
+++ b/lilacfront/experiments/simulation.py
@@ -41,7 +41,7 @@
     max_attempts=5, may_cancel=True, may_send_retry_after=True, max_retry_after_us=2_000_000
 )
 EXECUTION_TIME_STREAM = 77  # seeds the random execution times, together with the experiment's seed
-TABLE_GROUPS = 50
+TABLE_GROUPS = 50  # the table group of a request is its number modulo this
 SECONDS_PER_MINUTE = 60
 SERVED = "served"
 FAILED = "failed"
@@ -104,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestEnded:
-    """The scheduler is notified that an admitted request ended; None: it had no attempt."""
+    """The scheduler is notified that a request ended; `execution_s` is None if it had no attempt."""
 
     request: int
     execution_s: float | None
@@ -171,14 +171,14 @@
         arrivals = self._arrivals()
         arrival = next(arrivals, None)
         while arrival is not None or self._requests or self._running:
-            engine_at, engine = min(
+            engine_at, engine_number = min(
                 (model.next_completion_at(), number) for number, model in self._engines.items()
             )
             event_at = self._events[0][0] if self._events else math.inf
             arrival_at = arrival.due_s if arrival is not None else math.inf
             self._now = max(self._now, min(engine_at, event_at, arrival_at, self._next_tick_at))
             if engine_at <= self._now:
-                self._finish_executions(engine)
+                self._finish_executions(engine_number)
             elif event_at <= self._now:
                 self._handle(heapq.heappop(self._events)[2])
             elif arrival is not None and arrival_at <= self._now:
--- a/lilacfront/load/accuracy.py
+++ b/lilacfront/load/accuracy.py
@@ -27,7 +27,8 @@
 MARGIN_MS = 2.0  # allowed error, added to MARGIN_FRACTION of the actual latency
 MARGIN_FRACTION = 0.01
 MS_PER_S = 1000
-# The connections suffice for the longest delay of the stand-in, so that no request waits for a connection.
+# An HTTP connection has one open request. The connections suffice for requests of MAX_DELAY_S each, ten times
+# the median delay of the stand-in, so that no request waits for a connection unless the stand-in stalls.
 MIN_HTTP_CONNECTIONS = 64
 MAX_DELAY_S = 0.06
 THRIFT_CONNECTIONS_PER_WORKER = 8
@@ -78,13 +79,14 @@
         seconds: Duration of the load.
         workers: The number of worker processes, and of stand-ins.
         protocol: The protocol of the plan's target.
-        stall_s: The duration of a stall of the stand-ins, which begins after a third of the load.
+        stall_s: The duration of a stall of the stand-ins, which begins after about a third of the load.
 
     Raises:
         CheckError: The generator and the stand-ins count different numbers of served requests.
     """
     behaviour = f'protocol = "{protocol}"\ndelay = {{ shape = "lognormal", median_ms = 6.0, sigma = 0.5 }}\n'
     if stall_s:
+        # Stalls are timed from the start of the stand-ins; 1 s allows for the start of the generator.
         behaviour += f"stalls = [{{ at_s = {1 + seconds / 3}, seconds = {stall_s} }}]\n"
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
@@ -162,6 +164,7 @@
     latencies = []
     for line in lines:
         record = decoder.decode(line)
+        # The request's number: the decimal end of a query id, or the last eight hex digits of a call id.
         number = int(record.id.rpartition("-")[2]) if "-" in record.id else int(record.id[8:], 16)
         latencies.append((record.ended_at - start_time - unanswered.pop(number)) * MS_PER_S)
     return np.sort(np.array(latencies, dtype=np.float64))
--- a/lilacfront/load/cli.py
+++ b/lilacfront/load/cli.py
@@ -118,12 +118,17 @@
 @click.argument("plan", type=_existing_file)
 @click.option("--out", required=True, type=_folder, help="Directory for the result; created if missing.")
 @click.option(
-    "--target", "targets", multiple=True, metavar="HOST:PORT", help="Replaces the plan's addresses."
+    "--target",
+    "targets",
+    multiple=True,
+    metavar="HOST:PORT",
+    help="Replaces the plan's addresses; may be repeated.",
 )
 def run(plan: Path, out: Path, targets: tuple[str, ...]) -> None:
     """Run PLAN and write result.json to a directory.
 
-    The exit code is 3 if the run is void (the generator could not keep up) and 130 if it was interrupted.
+    The exit code is 3 if the run is void (for example because the generator could not keep up), and 130 if a
+    valid run was interrupted.
     """
     result = run_and_print(plan.read_bytes(), plan.parent, out, list(targets))
     if result.is_void:
@@ -159,7 +164,7 @@
     "--class-of",
     multiple=True,
     metavar="CLASS=PATTERN",
-    help="Set the class of unclassified requests that match.",
+    help="Class for requests without one whose statement matches this regular expression; may be repeated.",
 )
 @click.option("--overlay", is_flag=True, help="Start all files at time 0 instead of one after another.")
 def import_(
--- a/lilacfront/load/connection.py
+++ b/lilacfront/load/connection.py
@@ -1,4 +1,4 @@
-"""One connection of the load generator. Its own task reads; writes are made in the task of the sender."""
+"""One connection of the load generator. A task per connection reads answers; any task may send requests."""
 
 from __future__ import annotations
 
--- a/lilacfront/load/connection_pool.py
+++ b/lilacfront/load/connection_pool.py
@@ -198,7 +198,7 @@
         self.in_flight += 1
         connection.send(request, now)
         if not connection.codec.capacity:
-            # No further request can share the write, so flushes before the end of the loop's turn.
+            # Written now and not at the end of the loop's turn, since no further request can share the write.
             connection.stream.flush()
             connection.is_listed = False
             # Usually the connection is the first, where `_first_available` found it.
--- a/lilacfront/load/http_codec.py
+++ b/lilacfront/load/http_codec.py
@@ -1,4 +1,7 @@
-"""The client side of ClickHouse's HTTP interface: one open request, its number is part of its query id."""
+"""The client side of ClickHouse's HTTP interface: one open request per connection.
+
+A query id consists of the run's eight hex digits and the request's number: `0badcafe-17`.
+"""
 
 from __future__ import annotations
 
@@ -60,7 +63,7 @@
         if headers is None:
             headers = self._headers[profile] = self._encode_headers(profile)
             if len(self._headers) > MAX_REMEMBERED_REQUESTS:
-                self._headers.clear()
+                self._headers.clear()  # bounds the memory if a trace has very many users
         self.open_requests[number] = profile
         self._has_requested = True
         seconds = max(1, int(ttl_s))
--- a/lilacfront/load/measurements.py
+++ b/lilacfront/load/measurements.py
@@ -60,9 +60,8 @@
     late_answers: int = field(default=0, name="late")  # arrived after the timeout of their request
     duplicate_answers: int = field(default=0, name="second")  # to a request that was already answered
     unknown_answers: int = field(default=0, name="unknown")  # to no request of this connection
-    wrong_answers: int = field(
-        default=0, name="wrong"
-    )  # belong to another request, or differ from the expected result
+    # Belong to another request, or differ from the expected result.
+    wrong_answers: int = field(default=0, name="wrong")
 
     def add(self, other: Counters) -> None:
         """Adds the counts of another worker."""
--- a/lilacfront/load/phases.py
+++ b/lilacfront/load/phases.py
@@ -145,7 +145,7 @@
 class TracePhase(_Phase, tag="trace"):
     """A recorded trace, replayed with its times divided by `speed`, for at most `seconds`."""
 
-    file: str
+    file: str  # relative to the directory of the plan
     speed: PositiveFloat = 1.0
     seconds: PhaseSeconds | None = None
     class_name: str = field(default="", name="class")  # for requests that have no class in the trace
--- a/lilacfront/load/plan.py
+++ b/lilacfront/load/plan.py
@@ -78,11 +78,11 @@
 
     retry: Literal["never", "at_once", "told"] = "never"
     max_attempts: Annotated[int, Meta(ge=1, le=100)] = field(default=3, name="tries")  # including the first
-    jitter: Annotated[float, Meta(ge=0, le=1)] = (
-        0.2  # the largest random fraction that is added to the Retry-After time
-    )
+    # The largest random fraction that is added to the delay for `told`.
+    jitter: Annotated[float, Meta(ge=0, le=1)] = 0.2
     # The delay for `told` if the answer has no Retry-After.
     default_retry_after_s: Annotated[float, Meta(ge=0, le=3600)] = field(default=0.5, name="wait_s")
+    # The time from the due time of a request to its deadline, unless its mix entry has a timeout.
     timeout_s: Annotated[float, Meta(gt=0, le=3600)] = 10.0
 
 
--- a/lilacfront/load/query_log.py
+++ b/lilacfront/load/query_log.py
@@ -9,7 +9,8 @@
 from lilacfront.errors import LilacfrontError
 from lilacfront.load.trace import RecordedRequest
 
-# Row types of executed statements. 'QueryStart' is not one of them: the statement would count twice.
+# Row types of executed statements, by name and by number in the column's Enum8. 'QueryStart' is not one of
+# them: the statement would count twice.
 FINISHED_TYPES = frozenset(("QueryFinish", "ExceptionWhileProcessing", "2", "4"))
 UNFINISHED_TYPES = frozenset(("QueryStart", "ExceptionBeforeStart", "1", "3"))
 TIME_COLUMNS = (
--- a/lilacfront/load/result.py
+++ b/lilacfront/load/result.py
@@ -76,10 +76,10 @@
     outcomes: dict[str, int]
     is_void: bool = field(name="void")
     void_reasons: list[str]
-    partial: bool
+    partial: bool  # the run was interrupted, or a worker exited without a result
     latency_ms: Latency
     schedule_lag_ms: Percentiles
-    checks: dict[str, int]
+    checks: dict[str, int]  # the number of unexpected answers by kind; see `Counters`
     classes: dict[str, Breakdown]
     by_outcome: dict[str, Breakdown]
     histograms: Histograms
@@ -87,10 +87,10 @@
 
 
 def void_reasons(
-    bounds: ValidityBounds, counters: Counters, lag: Percentiles, lost_workers: list[str]
+    bounds: ValidityBounds, counters: Counters, lag: Percentiles, worker_failures: list[str]
 ) -> list[str]:
     """Returns the reasons why a run is no valid measurement of its target; empty for a valid run."""
-    reasons = list(lost_workers)
+    reasons = list(worker_failures)
     for name, bound_ms in (("p99", bounds.lag_p99_ms), ("max", bounds.lag_max_ms)):
         lag_ms = lag[name]
         if lag_ms is not None and lag_ms > bound_ms:
@@ -109,7 +109,7 @@
     started_at: str,
     planned_seconds: float,
     partial: bool,
-    lost_workers: list[str],
+    worker_failures: list[str],
 ) -> Result:
     """Merges the measurements of the workers into the result of the run."""
     counters = Counters()
@@ -118,7 +118,7 @@
     lag = percentiles_ms(merge_histograms(worker.lag for worker in measurements))
     groups = [group for worker in measurements for group in worker.groups]
     total = _breakdown(groups)
-    reasons = void_reasons(plan.bounds, counters, lag, lost_workers)
+    reasons = void_reasons(plan.bounds, counters, lag, worker_failures)
     return Result(
         target=msgspec.to_builtins(plan.target),
         seed=plan.seed,
@@ -133,7 +133,7 @@
         outcomes=total.outcomes,
         is_void=bool(reasons),
         void_reasons=reasons,
-        partial=partial or bool(lost_workers),
+        partial=partial or bool(worker_failures),
         latency_ms=total.latency_ms,
         schedule_lag_ms=lag,
         checks=counters.checks(),
--- a/lilacfront/load/retry_policy.py
+++ b/lilacfront/load/retry_policy.py
@@ -31,7 +31,7 @@
     WRONG = "wrong"  # a complete answer that belongs to another request or differs from the expected result
     BROKEN = "broken"  # the connection was closed or its data can't be parsed; may have been executed
     UNSENT = "unsent"  # the connect failed, or the connection was closed before a byte was sent
-    TIMED_OUT = "late"
+    TIMED_OUT = "late"  # no answer within the timeout
 
 
 OUTCOMES = {
--- a/lilacfront/load/run.py
+++ b/lilacfront/load/run.py
@@ -84,7 +84,8 @@
 ) -> Result:
     """Runs a plan and writes its result.
 
-    An interrupt (SIGINT or SIGTERM) ends the run early; its result is marked as partial.
+    An interrupt (SIGINT or SIGTERM) ends the run early; its result is marked as partial. A second interrupt
+    aborts the run without a result.
 
     Args:
         text: The plan as TOML.
@@ -119,7 +120,7 @@
         started_at=started_at,
         planned_seconds=round(planned_s, 3),
         partial=interrupted,
-        lost_workers=[worker.failure for worker in workers if worker.failure],
+        worker_failures=[worker.failure for worker in workers if worker.failure],
     )
     write_result(out, result, [worker.out for worker in workers if worker.out.exists()])
     return result
--- a/lilacfront/load/schedule.py
+++ b/lilacfront/load/schedule.py
@@ -265,7 +265,8 @@
 
 
 def _zipf_distribution(groups: ZipfGroups) -> Floats:
+    """Returns the cumulative distribution over the groups."""
     weights = np.arange(1, groups.count + 1, dtype=np.float64) ** -groups.exponent
     cumulative: Floats = np.cumsum(weights / weights.sum())
-    cumulative[-1] = 1.0
+    cumulative[-1] = 1.0  # rounding may leave it below 1; a higher draw would give a group over `count`
     return cumulative
--- a/lilacfront/load/sender.py
+++ b/lilacfront/load/sender.py
@@ -83,7 +83,10 @@
         return self._all_started and not self.open_requests
 
     def stop(self) -> None:
-        """Stops sending; open requests stay open until their deadlines or until `abandon`."""
+        """Starts no more requests and schedules no more retries.
+
+        Open requests stay open until they end or until `abandon`.
+        """
         self.stopped = True
 
     def abandon(self) -> None:
--- a/lilacfront/load/simulated_run.py
+++ b/lilacfront/load/simulated_run.py
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SimulatedRun:
-    """The measurements of a simulated run, and the stand-in's own record.
+    """What the generator measured in a simulated run, and what the stand-in counted and logged.
 
     Attributes:
         measured: The measurements of the generator.
--- a/lilacfront/load/thrift_codec.py
+++ b/lilacfront/load/thrift_codec.py
@@ -17,7 +17,7 @@
 from lilacfront.protocols import thrift
 
 MAX_PLATFORM_RESULT_BYTES = 48_000  # the largest valid result
-FRAME_OVERHEAD_BYTES = 4096
+FRAME_OVERHEAD_BYTES = 4096  # of a reply frame, in addition to the result
 COLUMN_SEPARATORS_PER_ROW = 2
 MS_PER_S = 1000
 _UINT32_MASK = 0xFFFFFFFF
@@ -99,6 +99,7 @@
 
 
 def _is_expected(body: bytes, profile: RequestProfile) -> bool:
+    """Whether a result has complete rows of three columns and equals the expected result, if there is one."""
     rows = body.split(b"\n")
     has_rows = not rows[-1] and all(row.count(b"\t") == COLUMN_SEPARATORS_PER_ROW for row in rows[:-1])
     return has_rows and profile.expected_result in (None, body) and len(body) <= MAX_PLATFORM_RESULT_BYTES
--- a/lilacfront/load/trace_import.py
+++ b/lilacfront/load/trace_import.py
@@ -32,7 +32,7 @@
     read_lines,
 )
 
-SPILL_BYTES = 16 << 20  # requests beyond this size are sorted in temporary files
+SPILL_BYTES = 16 << 20  # size of the requests that are sorted in memory and written to one temporary file
 REQUEST_OVERHEAD_BYTES = 200  # estimated memory of a request without its statement
 MAX_SHOWN_LINES = 10  # unusable lines whose number and problem are kept
 
@@ -50,13 +50,11 @@
     read: int = 0
     imported: int = 0
     out_of_order: int = 0  # read after a request with a later time
-    skipped: Counter[str] = field(
-        default_factory=Counter
-    )  # requests and rows by the reason for skipping them
+    # Requests and rows by the reason for skipping them.
+    skipped: Counter[str] = field(default_factory=Counter)
     unusable: int = 0
-    shown_lines: list[str] = field(
-        default_factory=list
-    )  # the first unusable lines as "FILE, line N: problem"
+    # The first unusable lines as "FILE, line N: problem".
+    shown_lines: list[str] = field(default_factory=list)
 
     def add_unusable(self, where: str, problem: str) -> None:
         """Counts an unusable line."""
@@ -159,7 +157,9 @@
     """
     converter = _Converter(request_filter, speed, class_patterns, tally)
     if overlay:
-        yield from heapq.merge(*(converter.convert(path, form) for path, form in files), key=_BY_TIME)
+        yield from heapq.merge(
+            *(converter.convert(path, source_format) for path, source_format in files), key=_BY_TIME
+        )
         return
     offset_s = 0.0
     last_s = 0.0
@@ -250,6 +250,7 @@
 def _csv_content(row: list[str], names: list[str]) -> dict[str, Any] | UnusableRowError:
     if len(row) != len(names):
         return UnusableRowError(f"{len(row)} columns; the header has {len(names)}")
+    # The code points by which the error handler `surrogateescape` replaces invalid bytes.
     if any("\udc80" <= char <= "\udcff" for cell in row for char in cell):
         return UnusableRowError("invalid UTF-8")
     return dict(zip(names, row, strict=True))
--- a/tests/experiments/test_simulation.py
+++ b/tests/experiments/test_simulation.py
@@ -46,7 +46,10 @@
 
 
 def test_budget_is_kept_in_every_minute_of_a_flood(experiments: dict[str, Findings]) -> None:
-    """The first two minutes may exceed it by the burst and by requests that cost more than estimated."""
+    """The budget is 8 thread-seconds per second, 480 per minute.
+
+    The first two minutes may exceed it by the burst of 40 and by requests that cost more than estimated (5%).
+    """
     used = [
         minute.thread_seconds for _, minute in sorted(experiments["flood"].minutes["support/trends"].items())
     ]
--- a/tests/load/test_pinned_load.py
+++ b/tests/load/test_pinned_load.py
@@ -129,7 +129,7 @@
         started_at="2026-01-01T00:00:00.000+00:00",
         planned_seconds=8.5,
         partial=False,
-        lost_workers=["worker 1 ended with -9 and without a result"],
+        worker_failures=["worker 1 ended with -9 and without a result"],
     )
     encoded = [msgspec.json.format(msgspec.json.encode(result), indent=2)]
     encoded += [msgspec.json.encode(second) for second in run.seconds]
--- a/tests/load/test_simulated_runs.py
+++ b/tests/load/test_simulated_runs.py
@@ -97,7 +97,7 @@
     )["max"]
     assert slowest is not None
     assert (slowest >= 1000) == (retry == "told")
-    assert slowest <= 2 * 1200 + 10
+    assert slowest <= 2 * 1200 + 10  # ms: two delays of 1 s with up to 20% jitter
 
 
 def test_refused_connections_fail_each_request_once() -> None:
--- a/tests/load_builders.py
+++ b/tests/load_builders.py
@@ -50,7 +50,7 @@
 def result_of(run: SimulatedRun, run_plan: Plan) -> Result:
     """Returns the result of a simulated run, with the checks for a void run."""
     return merge_results(
-        run_plan, [run.measured], started_at="", planned_seconds=0.0, partial=False, lost_workers=[]
+        run_plan, [run.measured], started_at="", planned_seconds=0.0, partial=False, worker_failures=[]
     )
 
 
