--- a/lilacfront/lab/crash_points.py
+++ b/lilacfront/lab/crash_points.py
@@ -1,8 +1,8 @@
-"""Crashes at every step of the writes of a recovery store, and whether what is read back is right.
+"""Crash-consistency test of the recovery store: crashes at every step of its writes.
 
-A crash either kills the process alone, and what it wrote stays; or the power is lost, and with it everything
-that was not synced, the names of files in a directory that was not synced among it. What is restored must be
-a state that was held, no older than the last one that was reported as being on the disk.
+A crash is either the end of the process, after which everything that it wrote remains, or a power loss, which
+also discards all data that was not synced and all renames in a directory that was not synced. The restored
+state must be one that the process had, and no older than the last one that was reported as synced.
 """
 
 from __future__ import annotations
@@ -33,21 +33,21 @@
 from lilacfront.recovery.store import Store
 
 log = Log(__name__)
-CHUNK_BYTES = 24  # written between two steps
+CHUNK_BYTES = 24  # bytes that each write step writes
 NAME, SITE = "n0", "here"
 
 
 class SimulatedCrash(BaseException):
-    """The process, or the machine, ends here."""
+    """Raised at the step at which the process or the machine crashes."""
 
 
 class CrashingStore(Store):
-    """A store that crashes at a step.
+    """A store that crashes at a given step.
 
     Attributes:
-        crash_at: Number of the step.
-        power_loss: The crash takes along what was not synced.
-        syncs: False breaks the store on purpose: it does not sync its files.
+        crash_at: Number of the step, counted from 1.
+        power_loss: Whether the crash is a power loss, which discards all data that was not synced.
+        syncs: Whether the store syncs its files. False injects a defect that the sweep has to detect.
     """
 
     def __init__(self, directory: str, crash_at: int, power_loss: bool, syncs: bool = True) -> None:
@@ -56,64 +56,64 @@
         self.power_loss = power_loss
         self.syncs = syncs
         self._step = 0
-        self._synced_bytes: dict[int, int] = {}  # by inode
+        self._synced_bytes: dict[int, int] = {}  # synced size of each file, by inode
         self._unsynced_renames: list[tuple[Path, Path]] = []
 
     def crash(self) -> None:
-        """Leave behind what the process's end, or the power loss, leaves."""
+        """Close the store; after a power loss, undo renames and truncate files to their synced state."""
         self.close()
         if not self.power_loss:
             return
-        for fresh, path in reversed(self._unsynced_renames):
-            os.rename(path, fresh)
+        for new_path, path in reversed(self._unsynced_renames):
+            os.rename(path, new_path)
         for path in self.directory.iterdir():
             status = path.stat()
             if path.suffix != ".lock":
                 synced = self._synced_bytes.get(status.st_ino, status.st_size)
                 os.truncate(path, min(status.st_size, synced))
 
-    def _take_step(self) -> None:
+    def _crash_if_reached(self) -> None:
         self._step += 1
         if self._step == self.crash_at:
             raise SimulatedCrash
 
     def _write(self, descriptor: int, data: bytes) -> None:
-        rest = memoryview(data)
+        remaining = memoryview(data)
         self._synced_bytes.setdefault(os.fstat(descriptor).st_ino, 0)
-        while rest:
-            self._take_step()
-            rest = rest[os.write(descriptor, rest[:CHUNK_BYTES]) :]
+        while remaining:
+            self._crash_if_reached()
+            remaining = remaining[os.write(descriptor, remaining[:CHUNK_BYTES]) :]
 
     def _sync(self, descriptor: int) -> None:
-        self._take_step()
+        self._crash_if_reached()
         status = os.fstat(descriptor)
         if self.syncs:
             self._synced_bytes[status.st_ino] = status.st_size
-        self._take_step()
+        self._crash_if_reached()
 
-    def _rename(self, fresh: Path, path: Path) -> None:
-        self._take_step()
-        os.rename(fresh, path)
-        self._unsynced_renames.append((fresh, path))
-        self._take_step()
+    def _rename(self, new_path: Path, path: Path) -> None:
+        self._crash_if_reached()
+        os.rename(new_path, path)
+        self._unsynced_renames.append((new_path, path))
+        self._crash_if_reached()
 
     def _unlink(self, path: Path) -> None:
-        self._take_step()
+        self._crash_if_reached()
         path.unlink()
 
     def _sync_directory(self) -> None:
-        self._take_step()
+        self._crash_if_reached()
         self._unsynced_renames.clear()
-        self._take_step()
+        self._crash_if_reached()
 
 
 def _entry(number: int, lifecycle: str = "ready") -> EndpointEntry:
     return EndpointEntry(f"s-{number}", f"127.0.0.1:{9000 + number}", lifecycle, "hall-a", "c12", 0, 1.0, 0.0)
 
 
-def batches() -> Iterator[list[AnyRecord]]:
-    """The records of one process, as they reach the disk; an empty batch begins a generation."""
-    yield [EndpointListRecord(1, True, tuple(_entry(n) for n in range(6))), IncarnationRecord(100)]
+def record_batches() -> Iterator[list[AnyRecord]]:
+    """The records that a process writes, in batches; an empty batch begins a new journal generation."""
+    yield [EndpointListRecord(1, True, tuple(_entry(number) for number in range(6))), IncarnationRecord(100)]
     yield [
         DirectiveRecord(OperatorDirective("s-1", 1, "a", True, 1.0, 1.0)),
         LoadStartedRecord(b"one", 2.0),
@@ -140,70 +140,70 @@
 
 @dataclass
 class SweepResult:
-    """What came of crashes at every step.
+    """The result of a sweep over all steps.
 
     Attributes:
-        points: Steps at which the store crashed, and the one run without a crash.
-        wrong: Runs after which a wrong state was restored.
-        failed: Runs in which a start raised an error.
+        runs: Number of runs: one for each step, and one that completed without a crash.
+        wrong_restores: Number of runs after which a wrong state was restored.
+        failed_starts: Number of runs in which a start raised an error.
     """
 
-    points: int = 0
-    wrong: int = 0
-    failed: int = 0
+    runs: int = 0
+    wrong_restores: int = 0
+    failed_starts: int = 0
 
 
 class _History:
-    """The states that a process held, and which of them were on the disk for sure."""
+    """The states that a process went through, and the index of the last one reported as synced."""
 
     def __init__(self) -> None:
         self.state = DurableState()
         self._states = [_encoded(self.state)]
-        self._synced = 0
+        self._last_synced_index = 0
 
     def apply(self, record: AnyRecord) -> None:
-        """Apply a record, which from now on may be on the disk."""
+        """Apply a record. The resulting state may be on the disk from now on."""
         self.state.apply(record)
         self._states.append(_encoded(self.state))
 
-    def synced(self) -> None:
-        """Note that the state is on the disk."""
+    def record_sync(self) -> None:
+        """Record that the current state is on the disk."""
         self._states.append(_encoded(self.state))
-        self._synced = len(self._states) - 1
+        self._last_synced_index = len(self._states) - 1
 
-    def allows(self, restored: DurableState) -> bool:
-        """Whether a restored state was held, no earlier than the last one synced."""
-        return _encoded(restored) in self._states[self._synced :]
+    def is_valid_restore(self, restored: DurableState) -> bool:
+        """Whether a restored state is the last one synced or a later one."""
+        return _encoded(restored) in self._states[self._last_synced_index :]
 
 
 def _write_all(store: CrashingStore, history: _History) -> None:
-    """Write all batches, as one process does."""
+    """Write all batches in the way of a running process."""
     store.begin_generation(list(history.state.checkpoint()))
-    history.synced()
-    for batch in batches():
+    history.record_sync()
+    for batch in record_batches():
         if not batch:
             store.begin_generation(list(history.state.checkpoint()))
-            history.synced()
+            history.record_sync()
             continue
         frames = []
         for record in batch:
             history.apply(record)
             frames.append(encode_frame(encode_record(record)))
         store.append(b"".join(frames))
-        history.synced()
+        history.record_sync()
 
 
 def _run(
     directory: Path, crash_at: int, power_loss: bool, second_crash_at: int, syncs: bool
 ) -> tuple[bool, bool]:
-    """One crash: whether the store got past it, and whether the restored state is right."""
+    """Run up to a crash; return whether all writes completed and whether the restored state is valid."""
     history = _History()
     store = CrashingStore(str(directory), crash_at, power_loss, syncs)
-    survived = True
+    completed = True
     try:
         _write_all(store, history)
     except SimulatedCrash:
-        survived = False
+        completed = False
     store.crash()
     if second_crash_at:
         second = CrashingStore(str(directory), second_crash_at, power_loss)
@@ -211,20 +211,26 @@
             second.begin_generation(list(second.restore().checkpoint()))
         second.crash()
     restored = Store(str(directory), NAME, SITE).restore()
-    return survived, history.allows(restored)
+    return completed, history.is_valid_restore(restored)
 
 
 def sweep(power_loss: bool, second_crash_at: int = 0, syncs: bool = True) -> SweepResult:
-    """Crash at every step in turn; the next start crashes, too, at step `second_crash_at` (0: does not)."""
+    """Crash at every step in turn.
+
+    Args:
+        power_loss: Whether the crashes are power losses.
+        second_crash_at: Step at which the next start crashes as well; 0: it does not crash.
+        syncs: Whether the store syncs its files.
+    """
     result = SweepResult()
-    survived = False
-    while not survived:
-        result.points += 1
+    completed = False
+    while not completed:
+        result.runs += 1
         with tempfile.TemporaryDirectory(prefix="lilacfront-crash-") as directory:
             try:
-                survived, right = _run(Path(directory), result.points, power_loss, second_crash_at, syncs)
-                result.wrong += not right
+                completed, valid = _run(Path(directory), result.runs, power_loss, second_crash_at, syncs)
+                result.wrong_restores += not valid
             except Exception:
                 log.exception("start after a crash failed")
-                result.failed += 1
+                result.failed_starts += 1
     return result
--- a/lilacfront/lab/explore.py
+++ b/lilacfront/lab/explore.py
@@ -1,13 +1,14 @@
 """Exhaustive exploration of all schedules of two faults among three members, with the invariants checked.
 
-There are two families: all pairs of faults at all pairs of times (after which partitions heal, paused members
-are resumed, and time is left to converge); and, after each single fault, all pairs of lost datagrams of those
-sent in the seconds after it. The network is exact otherwise, so a schedule determines its run.
+There are two families of schedules. The first has all pairs of faults at all pairs of times, after which
+partitions heal, paused members resume and the views have time to converge. The second has each single fault
+with all pairs of lost datagrams among the first `LOSS_CANDIDATES` sent from the fault on. The network has a
+constant delay and no other faults, so a schedule determines its run. The invariants are:
 
     incarnations   no view lowers an incarnation
-    living         a live and reachable member is not considered dead for ever
-    found          a dead member is detected by all live ones, where there are two or more
-    agree          all views of the live members converge
+    accuracy       at the end, no view shows a live member as dead
+    completeness   at the end, every live member has detected every dead one, if two or more members live
+    agreement      at the end, the views of all live members show the same members as dead
 """
 
 from __future__ import annotations
@@ -30,18 +31,18 @@
 HEAL_AT_S = 5.0
 DURATION_S = 17.0
 NETWORK_DELAY_S = 0.005
-LOSS_START_S = 1.2  # time of the fault of the second family
-LOSS_CANDIDATES = 26  # datagrams after it of which two are lost
+LOSS_START_S = 1.2  # time of the fault in the second family
+LOSS_CANDIDATES = 26  # number of datagrams from that time on of which two are lost
 SEED = 1
 
 
 @dataclass(slots=True, frozen=True)
 class FaultSchedule:
-    """A run of the exploration.
+    """The faults of one run of the exploration.
 
     Attributes:
-        faults: The faults, by time.
-        lost_datagrams: Numbers of the lost datagrams, counted from `LOSS_START_S` on.
+        faults: The faults, ordered by time.
+        lost_datagrams: Numbers of the lost datagrams, counted from 0 at `LOSS_START_S`.
     """
 
     faults: tuple[Fault, ...]
@@ -49,19 +50,19 @@
 
     def __str__(self) -> str:
         text = "; ".join(msgspec.json.encode(fault).decode() for fault in self.faults)
-        return f"{text}; messages {self.lost_datagrams} lost" if self.lost_datagrams else text
+        return f"{text}; lost datagrams {self.lost_datagrams}" if self.lost_datagrams else text
 
 
 @dataclass(slots=True, frozen=True)
 class Violation:
-    """An invariant that a schedule violates; both as text for the reader."""
+    """A schedule and the invariant that it violates, as printable text."""
 
     schedule: str
     problem: str
 
 
 def single_faults(at_s: float, targets: Iterable[int]) -> Iterator[tuple[Fault, ...]]:
-    """All single faults of these members at a time."""
+    """Generate all faults of a single member among `targets` at a time; a restart counts as one fault."""
     for target in targets:
         yield (Fault(at_s=at_s, action="kill", targets=[target]),)
         yield (
@@ -81,7 +82,7 @@
 
 
 def all_schedules() -> Iterator[FaultSchedule]:
-    """Both families. The first fault is of member 0 alone, as the members are interchangeable."""
+    """Generate both families. The first fault affects member 0 alone, as the members are interchangeable."""
     for first_at_s, second_at_s in combinations_with_replacement(FAULT_TIMES_S, 2):
         for first in single_faults(first_at_s, [0]):
             for second in single_faults(second_at_s, range(MEMBERS)):
@@ -92,7 +93,7 @@
 
 
 class LossyNetwork(NetworkModel):
-    """Loses the datagrams with the given numbers, counted from `LOSS_START_S` on."""
+    """Drops the datagrams with the given numbers, counted from 0 at `LOSS_START_S`."""
 
     def __init__(
         self, script: FaultScript, rng: random.Random, lost: Iterable[int], now: Callable[[], float]
@@ -103,7 +104,7 @@
         self._next_number = 0
 
     def delivery_delays(self, sender: int, receiver: int) -> list[float]:
-        """Seconds until each delivery of a datagram; none if it is lost."""
+        """The delay in seconds of each delivery of a datagram; empty if it is lost."""
         delays = super().delivery_delays(sender, receiver)
         if self._now() < LOSS_START_S:
             return delays
@@ -116,23 +117,25 @@
     """Runs one schedule.
 
     Attributes:
-        violation: The invariant that was violated first, and how; empty if none was.
+        violation: Description of the first violation of an invariant; empty if there was none.
     """
 
     def __init__(self, schedule: FaultSchedule, inject_defect: DefectInjector = inject_nothing) -> None:
-        def make(number: int, script: FaultScript, seed: int, now: float, clock: float) -> DetectorMember:
-            member = DetectorMember(number, script, seed, now, clock)
+        def make_member(
+            number: int, script: FaultScript, seed: int, now: float, clock_offset_s: float
+        ) -> DetectorMember:
+            member = DetectorMember(number, script, seed, now, clock_offset_s)
             inject_defect(member.detector)
             return member
 
-        script = _script_of(schedule)
-        super().__init__(script, SEED, make)
+        script = _to_script(schedule)
+        super().__init__(script, SEED, make_member)
         self._net = LossyNetwork(script, self._random, schedule.lost_datagrams, lambda: self.now)
         self._incarnations: dict[tuple[int, int], list[int]] = {}
         self.violation = ""
 
     def find_violation(self) -> str:
-        """Run the schedule and return what it violates; empty if nothing."""
+        """Run the schedule and return a description of the first violation; empty if there is none."""
         self.run()
         if not self.violation:
             self.violation = self._final_violation()
@@ -145,11 +148,12 @@
 
     def _check_incarnations(self, host: Host) -> None:
         assert isinstance(host.member, DetectorMember)
-        now = list(host.member.view.incarnations)
-        before = self._incarnations.get((host.number, host.starts), now)
-        if any(new < old for new, old in zip(now, before, strict=True)):
-            self.violation = self.violation or f"incarnations: {host.number} had {before}, then {now}"
-        self._incarnations[host.number, host.starts] = now
+        current = list(host.member.view.incarnations)
+        previous = self._incarnations.get((host.number, host.starts), current)
+        if any(new < old for new, old in zip(current, previous, strict=True)):
+            problem = f"view of member {host.number} went from {previous} to {current}"
+            self.violation = self.violation or f"incarnations: {problem}"
+        self._incarnations[host.number, host.starts] = current
 
     def _final_violation(self) -> str:
         dead = {host.number for host in self.hosts if host.member is None}
@@ -159,16 +163,16 @@
             views[host.number] = host.member.failed_members()
         for viewer, failed in views.items():
             if failed - dead:
-                return f"living: {viewer} holds {sorted(failed - dead)} dead"
+                return f"accuracy: member {viewer} considers live members {sorted(failed - dead)} dead"
             if len(views) > 1 and dead - failed:
-                return f"found: {viewer} does not know that {sorted(dead - failed)} died"
+                return f"completeness: member {viewer} has not detected the death of {sorted(dead - failed)}"
         if len({frozenset(failed) for failed in views.values()}) > 1:
-            return f"agree: {views}"
+            return f"agreement: members considered dead, by viewer: {views}"
         return ""
 
 
-def _script_of(schedule: FaultSchedule) -> FaultScript:
-    """The schedule as a script, after which everything heals."""
+def _to_script(schedule: FaultSchedule) -> FaultScript:
+    """Convert a schedule to a script that ends with the repair of all partitions and pauses."""
     paused = sorted({fault.targets[0] for fault in schedule.faults if fault.action == "stop"})
     recovery = [
         Fault(at_s=HEAL_AT_S, action="heal"),
@@ -183,7 +187,7 @@
 
 
 def find_violations(schedules: Iterable[FaultSchedule], defect: str) -> list[Violation]:
-    """The violations of these schedules, with one of `DEFECTS` injected."""
+    """Run schedules with one of `DEFECTS` injected and return their violations."""
     inject_defect = DEFECTS[defect]
     violations = []
     for schedule in schedules:
--- a/lilacfront/lab/explore_cli.py
+++ b/lilacfront/lab/explore_cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront lab explore`: every schedule of two faults among three members."""
+"""`lilacfront lab explore`: runs every schedule of two faults among three members."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class ExplorationResult(NamedTuple):
-    """The number of schedules that were run, and what they violated."""
+    """The number of schedules that were run, and their violations."""
 
     schedules: int
     violations: list[Violation]
 
 
 def explore_all(defect: str, processes: int) -> ExplorationResult:
-    """Run all schedules, with one of `DEFECTS`, on this many processes."""
+    """Run all schedules with one of `DEFECTS` injected, in parallel processes."""
     schedules = list(all_schedules())
     jobs = [
         schedules[start : start + SCHEDULES_PER_JOB] for start in range(0, len(schedules), SCHEDULES_PER_JOB)
@@ -38,13 +38,17 @@
 
 @click.command("explore")
 @click.option(
-    "--spoil", "defect", type=click.Choice(list(DEFECTS)), default="none", help="Break a property on purpose."
+    "--spoil",
+    "defect",
+    type=click.Choice(list(DEFECTS)),
+    default="none",
+    help="Defect to inject into the failure detector.",
 )
 @click.option("--processes", type=click.IntRange(1, 64), default=4, show_default=True)
 def command(defect: str, processes: int) -> None:
-    """Play every schedule of two faults among three members; ends with 1 if a property breaks."""
+    """Run every schedule of two faults among three members; exits with 1 if an invariant is violated."""
     result = explore_all(defect, processes)
     for violation in result.violations[:MAX_PRINTED_VIOLATIONS]:
         click.echo(f"{violation.problem}\n    {violation.schedule}")
-    click.echo(f"{result.schedules} schedules, {len(result.violations)} break a property")
+    click.echo(f"{result.schedules} schedules, {len(result.violations)} violate an invariant")
     sys.exit(1 if result.violations else 0)
--- a/lilacfront/lab/fault_model.py
+++ b/lilacfront/lab/fault_model.py
@@ -1,4 +1,4 @@
-"""What a stand-in server does to each request: decided without input or output, from a file and a seed."""
+"""Behaviour of a stand-in server: the action and delay of each request, drawn with a seed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from lilacfront.errors import SettingsError
 
-DRAW_BLOCK = 1024  # random numbers drawn at once
+RANDOM_BLOCK_SIZE = 1024  # random numbers drawn at once
 FRACTION_TOLERANCE = 1e-9
 MS_PER_S = 1000
 Ms = Annotated[float, Meta(ge=0, le=3_600_000)]
@@ -21,17 +21,17 @@
 
 
 class BehaviourError(SettingsError):
-    """A behaviour file that can't be used."""
+    """A behaviour file is invalid."""
 
 
 class ResponseAction(Enum):
-    """What becomes of a request; the values are words of the record of what the server did."""
+    """What the server does with a request; the values are written to the server's request record."""
 
     SERVE = "serve"
-    REJECT = "refuse"  # at once, as never run, with a Retry-After
-    ERROR = "error"  # after its delay, an error
-    RESET = "reset"  # after its delay, the connection is reset
-    TRUNCATE = "cut"  # after its delay, half an answer and the end of the connection
+    REJECT = "refuse"  # at once, marked as never run, with a Retry-After time
+    ERROR = "error"  # after the delay, an error
+    RESET = "reset"  # after the delay, the connection is reset
+    TRUNCATE = "cut"  # after the delay, half an answer, then the connection is closed
     NO_RESPONSE = "silent"
 
 
@@ -62,7 +62,7 @@
     Attributes:
         median_ms: The median.
         sigma: Standard deviation of the delay's natural logarithm.
-        max_ms: Longer delays are shortened to this.
+        max_ms: Upper limit of the delay.
     """
 
     median_ms: Annotated[float, Meta(gt=0, le=3_600_000)]
@@ -78,7 +78,8 @@
     """Delays that change over time.
 
     Attributes:
-        points: Seconds after the start, and the delay in milliseconds from then until the next point.
+        points: Pairs of a time in seconds after the start and the delay in milliseconds that applies until
+            the next point, ordered by time. The first delay also applies before its time.
     """
 
     points: Annotated[list[tuple[float, Ms]], Meta(min_length=1, max_length=10_000)]
@@ -93,19 +94,19 @@
 
 
 class Stall(msgspec.Struct, forbid_unknown_fields=True):
-    """A time in which nothing is read, begun or answered, in seconds after the start."""
+    """A period in which the server reads, starts and answers nothing; times are seconds after the start."""
 
     at_s: Annotated[float, Meta(ge=0)]
     duration_s: Annotated[float, Meta(gt=0, le=3600)] = msgspec.field(name="seconds")
 
     @property
     def end_s(self) -> float:
-        """When the stall ends."""
+        """The end of the stall."""
         return self.at_s + self.duration_s
 
 
 class FaultFractions(msgspec.Struct, forbid_unknown_fields=True):
-    """Fractions of all requests that are not served; the fields are in the order of the draws."""
+    """Fractions of the requests that are not served. The field order is that of `ActionSequence`."""
 
     reject: Fraction = msgspec.field(default=0.0, name="refuse")
     error: Fraction = 0.0
@@ -120,10 +121,10 @@
     Attributes:
         protocol: ClickHouse's HTTP interface, or the platform's Thrift protocol.
         seed: Seed of actions and delays.
-        delay: How long a request takes.
-        stalls: Times without any activity, in order.
-        fault_fractions: Which requests are not served.
-        retry_after_s: What rejected requests are given as Retry-After.
+        delay: Distribution of the delay of a request.
+        stalls: Periods without any activity, ordered by time and not overlapping.
+        fault_fractions: Fractions of the requests that are not served, by action.
+        retry_after_s: The Retry-After time of rejected requests.
         result: The result of a request that is served.
     """
 
@@ -152,22 +153,22 @@
 
 def _check_behaviour(behaviour: Behaviour) -> None:
     if sum(msgspec.structs.astuple(behaviour.fault_fractions)) > 1 + FRACTION_TOLERANCE:
-        raise BehaviourError("shares", "more than 1 together")
+        raise BehaviourError("shares", "the fractions add up to more than 1")
     end_s = 0.0
     for index, stall in enumerate(behaviour.stalls):
         if stall.at_s < end_s:
-            problem = f"{stall.at_s} is before the end of the stall before it"
+            problem = f"{stall.at_s} is before the end of the previous stall at {end_s}"
             raise BehaviourError(f"stalls[{index}].at_s", problem)
         end_s = stall.end_s
     delay = behaviour.delay
     if isinstance(delay, Scheduled) and delay.points != sorted(delay.points):
-        raise BehaviourError("delay.points", "not in the order of time")
+        raise BehaviourError("delay.points", "the points are not ordered by time")
     if isinstance(delay, Uniform) and delay.low_ms > delay.high_ms:
         raise BehaviourError("delay.low_ms", "above high_ms")
 
 
 class ActionSequence:
-    """Decides request after request. Times are seconds after the server's start."""
+    """Draws an action and a delay for each request in turn. Times are seconds after the server's start."""
 
     def __init__(self, behaviour: Behaviour) -> None:
         self.behaviour = behaviour
@@ -186,17 +187,17 @@
         ]
         bounds = np.cumsum(msgspec.structs.astuple(self.behaviour.fault_fractions))
         while True:
-            for index in np.searchsorted(bounds, rng.random(DRAW_BLOCK), side="right"):
+            for index in np.searchsorted(bounds, rng.random(RANDOM_BLOCK_SIZE), side="right"):
                 yield actions[index]
 
     def next_action(self, at: float) -> tuple[ResponseAction, float]:
-        """What to do to a request that was read whole at `at`, and when."""
-        begin = self.next_responsive_at(at)
+        """The action for a request that was completely read at `at`, and the time of the action."""
+        started_at = self.next_responsive_at(at)
         action = next(self._actions)
         if action is ResponseAction.REJECT:
-            return action, begin
-        delay = self.behaviour.delay.sample_ms(self._delay_rng, begin) / MS_PER_S
-        return action, self.next_responsive_at(begin + delay)
+            return action, started_at
+        delay = self.behaviour.delay.sample_ms(self._delay_rng, started_at) / MS_PER_S
+        return action, self.next_responsive_at(started_at + delay)
 
     def next_responsive_at(self, at: float) -> float:
         """The earliest time from `at` on that is outside every stall."""
--- a/lilacfront/lab/recovery_cli.py
+++ b/lilacfront/lab/recovery_cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront lab stores` and `lab killpoints`: what the recovery store costs, and what survives a crash."""
+"""`lilacfront lab stores` and `lab killpoints`: cost and crash consistency of the recovery store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from lilacfront.lab.crash_points import sweep
 from lilacfront.lab.store_costs import BACKENDS, Cost, measure
 
-LAST_SECOND_CRASH = 20  # steps of the next start at which that crashes, too
+MAX_SECOND_CRASH_STEP = 20  # last step of the next start at which a second crash is tested
 _KB = 1024
 
 
@@ -51,12 +51,12 @@
 @click.option("--per-s", type=click.IntRange(1, 100_000), default=500, show_default=True)
 @click.option("--seconds", type=click.FloatRange(1.0, 3600.0), default=10.0, show_default=True)
 @click.option("--plays", type=click.IntRange(1, 100), default=5, show_default=True)
-@click.option("--directory", type=click.Path(exists=True, file_okay=False), help="On the disk to measure.")
+@click.option(
+    "--directory", type=click.Path(exists=True, file_okay=False), help="Directory on the disk to measure."
+)
 def stores(engines: int, per_s: int, seconds: float, plays: int, directory: str | None) -> None:
-    """Measure ways to store changes of the list; a table in Markdown. Each play is another process."""
-    click.echo(
-        "| | part of a processor | longest turn, ms | 999th of 1,000, ms | KB written a s | files, KB |"
-    )
+    """Measure storage backends for endpoint changes in a Markdown table. Each play runs in a new process."""
+    click.echo("| | processors | longest turn, ms | 99.9th percentile turn, ms | written, KB/s | files, KB |")
     click.echo("| --- | --- | --- | --- | --- | --- |")
     for backend_name in BACKENDS:
         costs = [
@@ -67,18 +67,17 @@
 
 @click.command("killpoints")
 def killpoints() -> None:
-    """Crash a store at every step of its writes, by a kill or a power loss, also in the next start."""
-    logging.disable(logging.CRITICAL)  # truncated journals are what is played here
-    click.echo(
-        "| the end | in the next start, too, at step | places | read back wrong | starts that failed |"
-    )
+    """Crash a store at every step of its writes, by a kill or a power loss, and again in the next start."""
+    logging.disable(logging.CRITICAL)  # truncated journals are expected here
+    click.echo("| crash | second crash at step of the next start | runs | wrong restores | failed starts |")
     click.echo("| --- | --- | --- | --- | --- |")
     for power_loss in (False, True):
-        for second_crash_at in range(LAST_SECOND_CRASH + 1):
+        for second_crash_at in range(MAX_SECOND_CRASH_STEP + 1):
             result = sweep(power_loss, second_crash_at)
-            end = "loss of power" if power_loss else "kill"
+            crash = "power loss" if power_loss else "kill"
             click.echo(
-                f"| {end} | {second_crash_at or '-'} | {result.points} | {result.wrong} | {result.failed} |"
+                f"| {crash} | {second_crash_at or '-'} | {result.runs} | {result.wrong_restores} "
+                f"| {result.failed_starts} |"
             )
-    broken = sweep(True, syncs=False)
-    click.echo(f"| loss of power, a store that does not sync | - | {broken.points} | {broken.wrong} | 0 |")
+    unsynced = sweep(True, syncs=False)
+    click.echo(f"| power loss, store without syncs | - | {unsynced.runs} | {unsynced.wrong_restores} | 0 |")
--- a/lilacfront/lab/recovery_exploration.py
+++ b/lilacfront/lab/recovery_exploration.py
@@ -1,9 +1,10 @@
-"""Exploration of every way of two front ends with one warehouse and one load to a power loss and back.
+"""Model checker for the recovery of two front ends, `a` and `b`, from a power loss.
 
-States are explored breadth first: what each front end holds in memory and on its disk, what the change log
-says, whether the load runs. The records, their merging, the operators' state and the exchange between peers
-are the program's own. Steps are directives of operators, events of the change log, the start and the end of
-the load, a write to a disk, a power loss, the loss of a disk, a start, and a meeting of the two.
+A breadth-first search visits all states within a number of steps and checks the properties after each step.
+A state consists of the records in memory and on disk of each front end, the last event of the change log, and
+whether the one load runs. The steps are directives of operators, change log events for the one warehouse, the
+start and the end of the load, writes to a disk, a power loss, the loss of a disk, a start, and an exchange of
+state between the two. Records, their merging, `OperatorState` and `StateExchange` are the program's own.
 """
 
 from __future__ import annotations
@@ -33,38 +34,38 @@
 WAREHOUSE = "s-1"
 LOAD = b"load"
 MAX_DIRECTIVES = 3
-MAX_EVENTS = 3  # of the change log
-MAX_STARTS = 1  # of a front end after a power loss
-MEETING_ROUNDS = 4
+MAX_EVENTS = 3  # highest sequence number in the change log
+MAX_STARTS = 1  # starts of a front end after a power loss
+EXCHANGE_ROUNDS = 4
 ROUND_S = 10.0
-ROOM_BYTES = 100  # for items in a message
+MAX_ITEMS_BYTES = 100  # size limit of the items in a message
 LOAD_STARTED_AT = 1.0
-MEETING = "they meet"
+EXCHANGE = "a and b exchange state"
 START = "a and b start"
 
 Records = tuple[AnyRecord, ...]
 
 
 class Property(Enum):
-    """What must hold after every step."""
+    """A property that must hold after every step."""
 
     DIRECTIVES_SURVIVE = "a directive that any surviving record holds is in force"
-    LOADS_RUN_ONCE = "a load that may have run is never sent again"
-    DRAINED_GET_NOTHING = "nothing is sent to a warehouse that a newer list shows as draining"
-    LISTS_GO_FORWARD = "no endpoint list goes back to an older event"
+    LOADS_SENT_ONCE = "a load that may have run is never sent again"
+    NO_REQUESTS_WHILE_DRAINING = "nothing is sent to a warehouse that a newer list shows as draining"
+    LISTS_NEVER_GO_BACK = "no endpoint list goes back to an older event"
 
 
 @dataclass(frozen=True)
 class FrontEnd:
-    """One front end.
+    """The state of a front end.
 
     Attributes:
-        memory: Its durable state in memory, as records; None while it is down.
-        disk: What its disk holds.
-        starts: How often it has started after a power loss.
-        recovering: It takes over state from its peer.
-        excluded: It leaves the warehouse out for a peer's newer list.
-        confirmed: The change log has confirmed its endpoint list since the start.
+        memory: The durable state in memory, as records; None while the front end is down.
+        disk: The records on its disk.
+        starts: Number of starts after a power loss.
+        recovering: Whether it still restores state from its peer.
+        excluded: Whether it excludes the warehouse because a peer's newer list shows it as not ready.
+        confirmed: Whether the change log has confirmed the endpoint list since the start.
     """
 
     memory: Records | None
@@ -77,7 +78,14 @@
 
 @dataclass(frozen=True)
 class State:
-    """Everything there is; `log_seq` and `log_ready` are the last event of the change log."""
+    """A state of the model; directives and the load are sent to front end `a`.
+
+    Attributes:
+        log_seq: Sequence number of the last event of the change log.
+        log_ready: Whether that event reports the warehouse as ready; otherwise as draining.
+        load_running: Whether the load is being executed.
+        loads_sent, directives: Number of loads that were sent, and of directives that were issued.
+    """
 
     a: FrontEnd
     b: FrontEnd
@@ -89,17 +97,17 @@
 
 
 @dataclass(frozen=True)
-class Faults:
-    """Faults that are injected to see the properties fail; all True: none."""
+class Mechanisms:
+    """The recovery mechanisms that are enabled; disabling one must violate a property."""
 
-    returns_directives: bool = True  # a peer offers its replica of a front end's directives
-    remembers_loads: bool = True
-    offers_lists: bool = True
+    directive_replicas: bool = True  # a peer offers its replica of a front end's directives
+    started_loads: bool = True  # a start restores the records of started loads
+    list_offers: bool = True  # a peer offers its endpoint list
 
 
 @dataclass
 class Exploration:
-    """What was found; `violations`: the steps that led to the first violation of each property."""
+    """The result; `violations` has the names of the steps to the first violation of each property."""
 
     states: int = 0
     steps: int = 0
@@ -107,6 +115,7 @@
 
 
 def _canonical(state: DurableState) -> Records:
+    """The records of a state, without an empty endpoint list, so that equal states compare equal."""
     return tuple(
         record for record in state.checkpoint() if not isinstance(record, EndpointListRecord) or record.seq
     )
@@ -117,7 +126,7 @@
     return EndpointEntry(WAREHOUSE, "127.0.0.1:1", lifecycle, "", "", 0, 1.0, 0.0)
 
 
-def _record(front_end: FrontEnd, record: AnyRecord) -> FrontEnd:
+def _apply_record(front_end: FrontEnd, record: AnyRecord) -> FrontEnd:
     assert front_end.memory is not None
     return replace(front_end, memory=_canonical(replay([*front_end.memory, record])))
 
@@ -131,12 +140,12 @@
 
 
 def _token(number: int, front_end: FrontEnd) -> str:
-    """The token of a process, which orders directives of equal numbers."""
+    """The process token, which orders directives with equal revisions."""
     return f"{number}.{front_end.starts}"
 
 
 def _operator_state(token: str, directives: Mapping[str, OperatorDirective]) -> OperatorState:
-    """The program's own state of operators with these directives."""
+    """The program's `OperatorState` with these directives."""
     operators = OperatorState(token, lambda: 1.0)
     operators.directives = dict(directives)
     return operators
@@ -145,12 +154,12 @@
 def _issue_directive(front_end: FrontEnd, number: int, suspended: bool) -> FrontEnd:
     operators = _operator_state(_token(number, front_end), _directives(front_end))
     for directive in operators.set_active(WAREHOUSE, suspended):
-        front_end = _record(front_end, DirectiveRecord(directive))
+        front_end = _apply_record(front_end, DirectiveRecord(directive))
     return front_end
 
 
-class _MeetingSide(ExchangedState):
-    """One front end in a meeting."""
+class _ExchangeSide(ExchangedState):
+    """A front end in an exchange of state."""
 
     def __init__(self, number: int, front_end: FrontEnd) -> None:
         self.number = number
@@ -184,49 +193,49 @@
             self.state.apply(DirectiveRecord(directive))
 
     def apply_peer_ready_list(self, peer: int, seq: int, short_ids: set[int]) -> None:
-        del peer  # there is only one
+        del peer  # the model has a single peer
         if seq > self.state.list_seq and not self.front_end.confirmed:
             excluded = short_id(WAREHOUSE) not in short_ids
             self.front_end = replace(self.front_end, excluded=excluded)
 
     def result(self) -> FrontEnd:
-        """The front end after the meeting."""
+        """The front end after the exchange."""
         return replace(self.front_end, memory=_canonical(self.state), recovering=False)
 
 
-def _withhold(digest: StateDigest, faults: Faults) -> StateDigest:
-    """A digest without the offers that injected faults suppress."""
-    withheld = set()
-    if not faults.returns_directives:
-        withheld.add(int(StateKind.REPLICA))
-    if not faults.offers_lists:
-        withheld.add(int(StateKind.ENDPOINT_LIST))
-    offers = tuple(offer for offer in digest.offers if offer[0] not in withheld)
+def _filter_offers(digest: StateDigest, mechanisms: Mechanisms) -> StateDigest:
+    """A digest without the offers of disabled mechanisms."""
+    removed_kinds = set()
+    if not mechanisms.directive_replicas:
+        removed_kinds.add(int(StateKind.REPLICA))
+    if not mechanisms.list_offers:
+        removed_kinds.add(int(StateKind.ENDPOINT_LIST))
+    offers = tuple(offer for offer in digest.offers if offer[0] not in removed_kinds)
     return StateDigest(digest.stage, digest.seq, offers)
 
 
-def _meet(a: FrontEnd, b: FrontEnd, faults: Faults) -> tuple[FrontEnd, FrontEnd]:
-    """The two exchange digests until nothing follows from them."""
-    sides = (_MeetingSide(0, a), _MeetingSide(1, b))
-    for turn in range(MEETING_ROUNDS):
-        now = turn * ROUND_S
+def _exchange_state(a: FrontEnd, b: FrontEnd, mechanisms: Mechanisms) -> tuple[FrontEnd, FrontEnd]:
+    """Run rounds of the state exchange, each until no message is in flight."""
+    sides = (_ExchangeSide(0, a), _ExchangeSide(1, b))
+    for round_index in range(EXCHANGE_ROUNDS):
+        now = round_index * ROUND_S
         queue: deque[tuple[int, Item]] = deque()
         for side in sides:
             side.exchange.invalidate()
-            queue.extend((1 - side.number, item) for item in side.exchange.collect(now, ROOM_BYTES))
+            queue.extend((1 - side.number, item) for item in side.exchange.collect(now, MAX_ITEMS_BYTES))
         while queue:
             receiver, item = queue.popleft()
             assert isinstance(item, StateDigest | ChunkRequest | StateChunk)
             if isinstance(item, StateDigest):
-                item = _withhold(item, faults)
+                item = _filter_offers(item, mechanisms)
             answers = sides[receiver].exchange.receive(now, 1 - receiver, item)
             queue.extend((1 - receiver, answer) for answer in answers)
     return sides[0].result(), sides[1].result()
 
 
-def _start(front_end: FrontEnd, faults: Faults) -> FrontEnd:
+def _start(front_end: FrontEnd, mechanisms: Mechanisms) -> FrontEnd:
     memory = front_end.disk
-    if not faults.remembers_loads:
+    if not mechanisms.started_loads:
         memory = tuple(record for record in memory if not isinstance(record, LoadStartedRecord))
     return replace(
         front_end,
@@ -261,13 +270,13 @@
         if at_b and b.memory is None:
             continue
         yield (
-            f"the log tells {name} {'ready' if ready else 'drain'}",
+            f"the change log reports {'ready' if ready else 'draining'} to {name}",
             replace(
                 state,
                 log_seq=seq,
                 log_ready=ready,
-                a=_record(a, event) if at_a else a,
-                b=_record(b, event) if at_b else b,
+                a=_apply_record(a, event) if at_a else a,
+                b=_apply_record(b, event) if at_b else b,
             ),
         )
 
@@ -277,56 +286,56 @@
     if a.memory is None:
         return
     if not state.load_running and not state.loads_sent and not a.recovering:
-        started = _record(a, LoadStartedRecord(LOAD, LOAD_STARTED_AT))
-        yield "the load starts", replace(state, a=started, load_running=True, loads_sent=1)
+        started = _apply_record(a, LoadStartedRecord(LOAD, LOAD_STARTED_AT))
+        yield "load starts", replace(state, a=started, load_running=True, loads_sent=1)
     if state.load_running:
-        yield "the load ends", replace(state, a=_record(a, LoadFinishedRecord(LOAD)), load_running=False)
+        yield "load ends", replace(state, a=_apply_record(a, LoadFinishedRecord(LOAD)), load_running=False)
 
 
 def _disk_steps(state: State) -> Steps:
     a, b = state.a, state.b
     if a.memory is not None and a.memory != a.disk:
-        yield "a's disk", replace(state, a=replace(a, disk=a.memory))
+        yield "a writes to disk", replace(state, a=replace(a, disk=a.memory))
     if b.memory is not None and b.memory != b.disk:
-        yield "b's disk", replace(state, b=replace(b, disk=b.memory))
+        yield "b writes to disk", replace(state, b=replace(b, disk=b.memory))
 
 
-def _power_steps(state: State, faults: Faults) -> Steps:
+def _power_steps(state: State, mechanisms: Mechanisms) -> Steps:
     a, b = state.a, state.b
     if a.memory is None:
-        yield START, replace(state, a=_start(a, faults), b=_start(b, faults))
+        yield START, replace(state, a=_start(a, mechanisms), b=_start(b, mechanisms))
     elif b.memory is not None and a.starts < MAX_STARTS:
-        off = replace(state, a=replace(a, memory=None), b=replace(b, memory=None), load_running=False)
-        yield "the power goes", off
-        yield "the power goes, and a's disk", replace(off, a=replace(off.a, disk=()))
+        powered_off = replace(state, a=replace(a, memory=None), b=replace(b, memory=None), load_running=False)
+        yield "power loss", powered_off
+        yield "power loss, disk of a lost", replace(powered_off, a=replace(powered_off.a, disk=()))
 
 
-def steps(state: State, faults: Faults) -> Steps:
-    """Every step that may come next, by its name, and the state after it."""
+def steps(state: State, mechanisms: Mechanisms) -> Steps:
+    """The name of each possible next step and the state after it."""
     yield from _directive_steps(state)
     yield from _change_log_steps(state)
     yield from _load_steps(state)
     yield from _disk_steps(state)
     if state.a.memory is not None and state.b.memory is not None:
-        a, b = _meet(state.a, state.b, faults)
-        yield MEETING, replace(state, a=a, b=b)
-    yield from _power_steps(state, faults)
+        a, b = _exchange_state(state.a, state.b, mechanisms)
+        yield EXCHANGE, replace(state, a=a, b=b)
+    yield from _power_steps(state, mechanisms)
 
 
 def _directives_survive(before: State, after: State) -> bool:
-    """Whether the newest directive known at a meeting of a recovering front end is in force after it."""
+    """Whether the newest directive on either disk is in force after an exchange of a recovering `a`."""
     own = replay(before.a.disk).directives
     replica = replay(before.b.disk).peer_directives.get(0, {})
     known = [directives[WAREHOUSE] for directives in (own, replica) if WAREHOUSE in directives]
     latest = max(known, key=lambda directive: (directive.revision, directive.author), default=None)
     current = _directives(before.a).get(WAREHOUSE)
     if current is not None and current.author == _token(0, before.a):
-        latest = current  # an operator has decided otherwise since the start
+        latest = current  # issued after the start, it supersedes the stored ones
     return latest is None or latest.active is _suspended(_directives(after.a))
 
 
-def _drained_get_nothing(before: State, after: State) -> bool:
-    """Whether a warehouse that the peer's newer list shows as draining is left out after a meeting."""
+def _draining_is_excluded(before: State, after: State) -> bool:
+    """Whether a warehouse that is draining in the peer's newer list is excluded after an exchange."""
     own, peer = replay(before.a.disk), replay(before.b.disk)
     if peer.list_seq <= own.list_seq or WAREHOUSE not in peer.endpoints:
         return True
@@ -336,45 +345,45 @@
     return entry is None or entry.lifecycle != "ready" or after.a.excluded
 
 
-def _loads_run_once(before: State, after: State) -> bool:
-    """Whether a load that the disk knows is still known after the start."""
+def _loads_sent_once(before: State, after: State) -> bool:
+    """Whether a load recorded on disk as started counts as possibly run after the start."""
     restored = replay(after.a.memory or ())
     started = any(isinstance(record, LoadStartedRecord) for record in before.a.disk)
     return not started or restored.may_have_run(LOAD, LOAD_STARTED_AT + 1.0)
 
 
-def _list_goes_forward(before: FrontEnd, after: FrontEnd) -> bool:
+def _list_does_not_go_back(before: FrontEnd, after: FrontEnd) -> bool:
     if before.memory is None or after.memory is None:
         return True
     return replay(after.memory).list_seq >= replay(before.memory).list_seq
 
 
 def _violations(before: State, step: str, after: State) -> Iterator[Property]:
-    """Properties that do not hold after a step."""
-    if step == MEETING and before.a.recovering:
+    """The properties that a step violates."""
+    if step == EXCHANGE and before.a.recovering:
         if not _directives_survive(before, after):
             yield Property.DIRECTIVES_SURVIVE
-        if not _drained_get_nothing(before, after):
-            yield Property.DRAINED_GET_NOTHING
-    if step == START and not _loads_run_once(before, after):
-        yield Property.LOADS_RUN_ONCE
-    if not (_list_goes_forward(before.a, after.a) and _list_goes_forward(before.b, after.b)):
-        yield Property.LISTS_GO_FORWARD
+        if not _draining_is_excluded(before, after):
+            yield Property.NO_REQUESTS_WHILE_DRAINING
+    if step == START and not _loads_sent_once(before, after):
+        yield Property.LOADS_SENT_ONCE
+    if not (_list_does_not_go_back(before.a, after.a) and _list_does_not_go_back(before.b, after.b)):
+        yield Property.LISTS_NEVER_GO_BACK
 
 
-def explore(depth: int, faults: Faults | None = None) -> Exploration:
-    """Visit all states within `depth` steps."""
-    faults = faults or Faults()
+def explore(depth: int, mechanisms: Mechanisms | None = None) -> Exploration:
+    """Visit all states that are reachable within `depth` steps and check the properties after each step."""
+    mechanisms = mechanisms or Mechanisms()
     records = _canonical(replay([EndpointListRecord(1, True, (_entry(True),))]))
-    first = State(FrontEnd(records, records), FrontEnd(records, records))
+    initial = State(FrontEnd(records, records), FrontEnd(records, records))
     found = Exploration(states=1)
-    seen = {first}
-    queue: deque[tuple[State, tuple[str, ...]]] = deque([(first, ())])
+    seen = {initial}
+    queue: deque[tuple[State, tuple[str, ...]]] = deque([(initial, ())])
     while queue:
         state, path = queue.popleft()
         if len(path) >= depth:
             continue
-        for step, after in steps(state, faults):
+        for step, after in steps(state, mechanisms):
             found.steps += 1
             for violation in _violations(state, step, after):
                 found.violations.setdefault(violation, "; ".join((*path, step)))
--- a/lilacfront/lab/recovery_scenario.py
+++ b/lilacfront/lab/recovery_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios of a power loss for the simulation of recovery: what is lost, who asks, how service returns."""
+"""Scenarios of a power loss for the simulation of recovery: faults, client load and recovery strategies."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 OVERLOAD_WINDOW_S: Final = 2.0
 MAX_RETRY_AFTER_S: Final = 8.0
 _US_PER_S: Final = 1e6
-_OBJECTIVE_FACTOR: Final = 16e6  # microseconds of the latency objective for each second of execution
-_DEADLINE_FACTOR: Final = 64e6
+_OBJECTIVE_FACTOR: Final = 16e6  # microseconds of latency objective per second of execution
+_DEADLINE_FACTOR: Final = 64e6  # microseconds of deadline per second of execution
 _MIN_DEADLINE_US: Final = 1_000_000
 
 
 class Strategy(Enum):
-    """How service returns; the values are printed."""
+    """How front ends restore service; the values are the names in printed tables."""
 
     UNCHANGED = "as today"
     JITTERED = "all at once, jittered"
@@ -39,24 +39,24 @@
 
     @property
     def staged(self) -> bool:
-        """Whether front ends go through the stages of `StartupStages`."""
+        """Whether front ends start in the stages of `StartupStages`."""
         return self in (Strategy.STAGED, Strategy.STAGED_ALONE)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """One class of requests; `seconds` is its execution time on an idle warehouse."""
+    """A class of requests; `execution_s` is its execution time on an idle warehouse."""
 
     name: str
     threads: int
-    seconds: float
+    execution_s: float
     priority_weight: float
     fraction: float  # of all requests
 
     @property
     def thread_seconds(self) -> float:
-        """The work of one request."""
-        return self.threads * self.seconds
+        """The work of one request, in thread-seconds."""
+        return self.threads * self.execution_s
 
 
 KINDS: Final = (
@@ -69,21 +69,22 @@
 
 
 class PowerLoss(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """A power loss and what follows, as read from TOML. Times are seconds since the power is back.
+    """A power loss and the recovery from it, as read from TOML. Times are seconds since the power returned.
 
     Attributes:
-        front_ends: How many front ends there are.
-        warehouses: How many warehouses there are.
-        utilization: Fraction of all cores that the requests of an ordinary second use.
-        backlog_s: Seconds of requests that waited for the power and come within the first second.
-        warehouses_back_s: The warehouses start within so many seconds.
-        front_ends_back_s: The front ends start within so many seconds.
-        missing_fraction: Fraction of the front ends that stay away.
-        obedient_fraction: Fraction of the clients that obey Retry-After; half of the others hammer, half
-            give up.
-        seconds: How long the simulation lasts.
-        short_reads_stage_s: Length of that stage.
-        idempotent_stage_s: Length of that stage.
+        front_ends: Number of front ends.
+        warehouses: Number of warehouses.
+        utilization: Fraction of all cores that the normal request rate uses.
+        backlog_s: Requests queued during the outage, as seconds of the normal rate; all of them arrive
+            within the first second.
+        warehouses_back_s: Time by which all warehouses have started; each starts at a random time before.
+        front_ends_back_s: Time by which all front ends have started, except for the missing ones.
+        missing_fraction: Fraction of the front ends that do not restart.
+        obedient_fraction: Fraction of the clients that obey Retry-After. Half of the others retry at short
+            intervals, half give up.
+        seconds: Duration of the simulation.
+        short_reads_stage_s: Duration of the stage that admits short reads.
+        idempotent_stage_s: Duration of the stage that admits idempotent requests.
     """
 
     front_ends: int = 5
@@ -100,26 +101,27 @@
 
     @property
     def requests_per_s(self) -> float:
-        """Requests of an ordinary second."""
+        """The normal request rate."""
         return self.utilization * self.warehouses * CORES / THREAD_SECONDS_PER_REQUEST
 
     @property
     def weight_per_s(self) -> float:
-        """Priority weight of the requests of an ordinary second."""
+        """Sum of the priority weights of the requests in a second of the normal rate."""
         return self.requests_per_s * WEIGHT_PER_REQUEST
 
 
 @dataclass
 class SimulationResult:
-    """What a simulation showed.
+    """The result of a simulation.
 
     Attributes:
-        recovered_s: When nine tenths of an ordinary second's weight are served again; NaN: never.
-        first_read_s: When the first lookup is served; NaN: never.
-        lost_fraction: Weight of the requests that were given up, of all.
-        warehouse_failures: How often an overloaded warehouse failed.
-        rejections: How many requests were rejected.
-        curve: Weight served in each second, as a fraction of an ordinary one.
+        recovered_s: Time when 90% of the normal weight per second is served again; NaN: never.
+        first_read_s: Time when the first lookup is served; NaN: never.
+        lost_fraction: Weight of the requests that failed or were given up, as a fraction of the weight of
+            all requests.
+        warehouse_failures: Number of failures of overloaded warehouses.
+        rejections: Number of rejections; a retried request may be rejected several times.
+        curve: Weight served in each second, as a fraction of the normal weight per second.
     """
 
     recovered_s: float = math.nan
@@ -134,8 +136,8 @@
     """Settings of the request router of one front end."""
     classes = tuple(
         RequestClass(
-            latency_objective_us=int(kind.seconds * _OBJECTIVE_FACTOR),
-            deadline_us=int(kind.seconds * _DEADLINE_FACTOR) + _MIN_DEADLINE_US,
+            latency_objective_us=int(kind.execution_s * _OBJECTIVE_FACTOR),
+            deadline_us=int(kind.execution_s * _DEADLINE_FACTOR) + _MIN_DEADLINE_US,
             priority_weight=kind.priority_weight,
             threads=kind.threads,
             idempotency=Idempotency.NOT_IDEMPOTENT if kind.name == "load" else Idempotency.IDEMPOTENT,
--- a/lilacfront/lab/recovery_simulation.py
+++ b/lilacfront/lab/recovery_simulation.py
@@ -1,8 +1,7 @@
-"""Simulation of a fleet after a power loss: hundreds of front ends and warehouses on one clock.
+"""Discrete-event simulation of a power loss and recovery with hundreds of front ends and warehouses.
 
-The decisions are the program's own: the request router of each front end and, in the staged strategies,
-`StartupStages`, `RetryAfterScheduler` and the count of living front ends. Warehouses, clients, discovery and
-the clock are models: clients obey a time to come back, try again at once, or give up.
+It runs the program's own request router for each front end and, in the staged strategies, `StartupStages`,
+`RetryAfterScheduler` and `FleetSize`. Warehouses, clients, discovery and the clock are models.
 """
 
 from __future__ import annotations
@@ -50,48 +49,48 @@
     admission_stages,
 )
 
-IMPATIENT_RETRY_S: Final = 0.25
-CLIENT_PATIENCE_S: Final = 30.0
-TICK_S: Final = 0.05  # between two looks at what changes with time alone
-DEATH_KNOWN_S: Final = 5.0  # with membership, until the front ends that stay away are known
+RETRY_INTERVAL_S: Final = 0.25  # if there is no Retry-After time or the client ignores it
+CLIENT_TIMEOUT_S: Final = 30.0
+TICK_S: Final = 0.05  # interval between updates of warm-up, startup stages and fleet size
+FAILURE_DETECTION_S: Final = 5.0  # time until membership detects the front ends that do not restart
 TABLE_GROUPS: Final = 500
-EPOCH_S: Final = 1000.0  # the routers' time at which the power is back
-LISTED_BEFORE_S: Final = -900.0  # start of the warehouses by a list of before the power loss
+EPOCH_S: Final = 1000.0  # time of the routers' clock when the power returns
+PRE_LOSS_START_S: Final = -900.0  # start time of warehouses in a list from before the power loss
 RECOVERED_FRACTION: Final = 0.9
-SMOOTHED_SECONDS: Final = 3
+SMOOTHING_WINDOW_S: Final = 3
 _US_PER_S: Final = 1e6
 
 
 class ClientBehavior(Enum):
-    """What a client does when it is rejected."""
+    """How a client reacts to a rejection."""
 
-    OBEYS = "obeys"
-    HAMMERS = "hammers"
+    OBEYS_RETRY_AFTER = "obeys"
+    IGNORES_RETRY_AFTER = "hammers"
     GIVES_UP = "gives up"
 
 
 @dataclass(slots=True)
 class SimulatedRequest:
-    """One request of a client, over all its attempts."""
+    """A client's request with all of its attempts. Times are in seconds."""
 
     class_index: int
     call_id: bytes
     behavior: ClientBehavior
-    first_asked_at: float
-    seconds: float  # execution time on an idle warehouse
-    gateway: int = -1
+    created_at: float
+    execution_s: float  # execution time on an idle warehouse
+    gateway: int = -1  # index of the front end that received it last; -1: none
     attempts: int = 0
-    warehouse: int = -1  # of the attempt under way; -1: none
-    attempt_began_at: float = 0.0
+    warehouse: int = -1  # index of the warehouse that runs the current attempt; -1: none
+    attempt_started_at: float = 0.0
 
     @property
     def kind(self) -> RequestKind:
-        """The kind of the request."""
+        """The request's class in `KINDS`."""
         return KINDS[self.class_index]
 
 
 class SimulatedGateway:
-    """One front end."""
+    """A front end: its router and, in the staged strategies, its startup stages."""
 
     def __init__(
         self,
@@ -120,22 +119,22 @@
 
     @property
     def recovering(self) -> bool:
-        """Whether service returns in stages and is not fully open yet."""
+        """Whether a staged start is still in progress."""
         return self.stages is not None and self.stages.stage is not RecoveryStage.OPEN
 
-    def reject(self, request: SimulatedRequest, now: float) -> float | None:
-        """After how many seconds a request that is not admitted is to come back; None: it is admitted."""
+    def check_admission(self, request: SimulatedRequest, now: float) -> float | None:
+        """Return None if a request is admitted, else its Retry-After time in seconds."""
         if self.stages is None or not self.recovering:
             return None
         index = request.class_index
         cost = request.kind.thread_seconds
-        served = self.stages.stage >= self._admission_stages[index]
-        if served and self._retry_after.admit(now, request.call_id, index, cost):
+        stage_reached = self.stages.stage >= self._admission_stages[index]
+        if stage_reached and self._retry_after.admit(now, request.call_id, index, cost):
             return None
         return self.retry_after_s(request, now)
 
     def retry_after_s(self, request: SimulatedRequest, now: float) -> float:
-        """After how many seconds a rejected request is to come back, while service returns."""
+        """The Retry-After time in seconds of a request that is rejected during a staged start."""
         assert self.stages is not None
         index = request.class_index
         earliest = self.stages.earliest_start(self._admission_stages[index], now)
@@ -143,6 +142,7 @@
         return self._retry_after.schedule(now, request.call_id, index, cost, earliest)
 
     def _capacity_at(self, at: float) -> float:
+        """This front end's share of the usable cores of all discovered warehouses."""
         cores = sum(
             CORES * warehouse.capacity_fraction(at)
             for warehouse in self._fleet.warehouses
@@ -155,48 +155,48 @@
     return Endpoint(index + 1, state, int((EPOCH_S + started_at) * _US_PER_S))
 
 
-class ServiceRecord:
-    """What was asked for, served and lost in one simulation."""
+class ServiceStatistics:
+    """Records the requests, answers and losses of one simulation, weighted by priority."""
 
     def __init__(self, loss: PowerLoss) -> None:
         self.first_read_s = math.nan
         self.rejections = 0
         self._loss = loss
-        self._served: list[tuple[float, float]] = []  # when, weight
-        self._asked_weight = 0.0
+        self._served: list[tuple[float, float]] = []  # time, priority weight
+        self._requested_weight = 0.0
         self._lost_weight = 0.0
 
-    def asked(self, kind: RequestKind) -> None:
-        """Note that a client has a request."""
-        self._asked_weight += kind.priority_weight
+    def record_request(self, kind: RequestKind) -> None:
+        """Record a new request of a client."""
+        self._requested_weight += kind.priority_weight
 
-    def lost(self, kind: RequestKind) -> None:
-        """Note that a client has given up."""
+    def record_loss(self, kind: RequestKind) -> None:
+        """Record a request that failed or that its client gave up."""
         self._lost_weight += kind.priority_weight
 
-    def served(self, kind: RequestKind, at: float) -> None:
-        """Note that a client has its answer."""
+    def record_answer(self, kind: RequestKind, at: float) -> None:
+        """Record the time of a request's answer."""
         self._served.append((at, kind.priority_weight))
         if math.isnan(self.first_read_s) and kind is KINDS[0]:
             self.first_read_s = at
 
     def result(self, warehouse_failures: int) -> SimulationResult:
-        """Sum up."""
+        """Compute the result of the simulation."""
         seconds = int(self._loss.seconds)
         curve = [0.0] * seconds
         for at, weight in self._served:
             curve[min(seconds - 1, int(at))] += weight / self._loss.weight_per_s
-        windows = [curve[second : second + SMOOTHED_SECONDS] for second in range(seconds)]
+        windows = [curve[second : second + SMOOTHING_WINDOW_S] for second in range(seconds)]
         smoothed = [sum(window) / len(window) for window in windows]
         recovered = [
             second
-            for second in range(seconds - SMOOTHED_SECONDS + 1)
+            for second in range(seconds - SMOOTHING_WINDOW_S + 1)
             if smoothed[second] >= RECOVERED_FRACTION
         ]
         return SimulationResult(
             recovered_s=float(recovered[0]) if recovered else math.nan,
             first_read_s=self.first_read_s,
-            lost_fraction=self._lost_weight / max(1e-9, self._asked_weight),
+            lost_fraction=self._lost_weight / max(1e-9, self._requested_weight),
             warehouse_failures=warehouse_failures,
             rejections=self.rejections,
             curve=curve,
@@ -204,7 +204,7 @@
 
 
 class PowerLossSimulation(WarehouseListener):
-    """Plays one power loss; the same seed gives the same result."""
+    """Simulates one power loss; runs with the same seed give the same result."""
 
     def __init__(self, loss: PowerLoss, strategy: Strategy, seed: int) -> None:
         self.loss = loss
@@ -223,11 +223,11 @@
             for index in range(missing, loss.front_ends)
         }
         self._requests: dict[int, SimulatedRequest] = {}
-        self._numbers = count(1)
-        self._record = ServiceRecord(loss)
+        self._ids = count(1)
+        self._statistics = ServiceStatistics(loss)
 
     def run(self) -> SimulationResult:
-        """Play the whole scenario."""
+        """Run the whole scenario."""
         self._fleet.schedule_starts()
         for gateway in self._gateways.values():
             self._events.schedule(gateway.started_at, partial(self._start_gateway, gateway))
@@ -237,14 +237,14 @@
         self._schedule_next_request()
         self._events.schedule(TICK_S, self._tick)
         self._events.run(self.loss.seconds)
-        return self._record.result(self._fleet.failures)
+        return self._statistics.result(self._fleet.failures)
 
     # ---- clients --------------------------------------------------------------------------------------
     def _schedule_next_request(self) -> None:
-        pause = self._random.expovariate(self.loss.requests_per_s)
-        self._events.schedule(self._events.now + pause, self._request_arrives)
+        interval = self._random.expovariate(self.loss.requests_per_s)
+        self._events.schedule(self._events.now + interval, self._on_arrival)
 
-    def _request_arrives(self) -> None:
+    def _on_arrival(self) -> None:
         self._new_request()
         self._schedule_next_request()
 
@@ -252,54 +252,58 @@
         rng = self._random
         class_index = rng.choices(range(len(KINDS)), [kind.fraction for kind in KINDS])[0]
         behavior = self._choose_behavior(rng.random())
-        seconds = KINDS[class_index].seconds * rng.lognormvariate(0.0, 0.4)
-        call_id = b"%016x" % next(self._numbers)
-        self._record.asked(KINDS[class_index])
-        self._ask(SimulatedRequest(class_index, call_id, behavior, self._events.now, seconds))
+        execution_s = KINDS[class_index].execution_s * rng.lognormvariate(0.0, 0.4)
+        call_id = b"%016x" % next(self._ids)
+        self._statistics.record_request(KINDS[class_index])
+        self._send_request(SimulatedRequest(class_index, call_id, behavior, self._events.now, execution_s))
 
-    def _choose_behavior(self, drawn: float) -> ClientBehavior:
+    def _choose_behavior(self, random_value: float) -> ClientBehavior:
         obedient = self.loss.obedient_fraction
-        if drawn < obedient:
-            return ClientBehavior.OBEYS
-        return ClientBehavior.HAMMERS if drawn < (1 + obedient) / 2 else ClientBehavior.GIVES_UP
+        if random_value < obedient:
+            return ClientBehavior.OBEYS_RETRY_AFTER
+        return (
+            ClientBehavior.IGNORES_RETRY_AFTER
+            if random_value < (1 + obedient) / 2
+            else ClientBehavior.GIVES_UP
+        )
 
-    def _ask(self, request: SimulatedRequest) -> None:
-        """A client sends its request to a front end that is up; while there is none it retries."""
+    def _send_request(self, request: SimulatedRequest) -> None:
+        """Send a client's request to a random running front end; retry later if none is running."""
         now = self._events.now
-        up = [index for index, gateway in self._gateways.items() if gateway.started_at <= now]
-        if not up:
-            self._retry(request, IMPATIENT_RETRY_S, rejected=False)
+        running = [index for index, gateway in self._gateways.items() if gateway.started_at <= now]
+        if not running:
+            self._retry(request, RETRY_INTERVAL_S, rejected=False)
             return
-        request.gateway = self._random.choice(up)
+        request.gateway = self._random.choice(running)
         request.attempts = 0
         gateway = self._gateways[request.gateway]
-        wait_s = gateway.reject(request, now)
+        wait_s = gateway.check_admission(request, now)
         if wait_s is not None:
             self._reject(request, wait_s)
             return
-        number = next(self._numbers)
+        number = next(self._ids)
         self._requests[number] = request
         deadline_us = gateway.router.settings.classes[request.class_index].deadline_us
         table_group = self._random.randrange(TABLE_GROUPS)
         self._handle(gateway, RequestReceived(number, request.class_index, deadline_us, table_group))
 
     def _reject(self, request: SimulatedRequest, wait_s: float) -> None:
-        self._record.rejections += 1
+        self._statistics.rejections += 1
         self._retry(request, wait_s, rejected=True)
 
     def _retry(self, request: SimulatedRequest, wait_s: float, rejected: bool) -> None:
         now = self._events.now
-        if request.behavior is ClientBehavior.HAMMERS or wait_s <= 0:
-            wait_s = IMPATIENT_RETRY_S * self._random.uniform(0.5, 1.5)
+        if request.behavior is ClientBehavior.IGNORES_RETRY_AFTER or wait_s <= 0:
+            wait_s = RETRY_INTERVAL_S * self._random.uniform(0.5, 1.5)
         gives_up = rejected and request.behavior is ClientBehavior.GIVES_UP
-        if gives_up or now + wait_s > request.first_asked_at + CLIENT_PATIENCE_S:
-            self._record.lost(request.kind)
+        if gives_up or now + wait_s > request.created_at + CLIENT_TIMEOUT_S:
+            self._statistics.record_loss(request.kind)
             return
-        self._events.schedule(now + wait_s, partial(self._ask, request))
+        self._events.schedule(now + wait_s, partial(self._send_request, request))
 
     # ---- warehouses -----------------------------------------------------------------------------------
     def attempt_ended(self, number: int, result: AttemptResult) -> None:
-        """Tell the router of an attempt's end."""
+        """Pass the end of an attempt to the router of the request's front end."""
         request = self._requests.get(number)
         if request is None or request.warehouse < 0:
             return
@@ -309,13 +313,13 @@
         succeeded = result is AttemptResult.OK
         if succeeded:
             del self._requests[number]
-            self._record.served(request.kind, now)
-        took_us = int((now - request.attempt_began_at) * _US_PER_S)
+            self._statistics.record_answer(request.kind, now)
+        took_us = int((now - request.attempt_started_at) * _US_PER_S)
         event = AttemptEnded(number, request.attempts - 1, engine, result, took_us, succeeded)
         self._handle(self._gateways[request.gateway], event)
 
     def endpoint_changed(self, index: int, state: EndpointState) -> None:
-        """Tell all front ends that are up of a warehouse."""
+        """Send the changed state of a warehouse to all running front ends."""
         started_at = self._fleet.warehouses[index].started_at
         for gateway in self._gateways.values():
             if gateway.started_at <= self._events.now:
@@ -324,11 +328,11 @@
 
     # ---- front ends -----------------------------------------------------------------------------------
     def _start_gateway(self, gateway: SimulatedGateway) -> None:
-        """Begin with the list of before the power loss; in the staged strategies all in it are cold."""
-        listed_start = self._events.now if self.strategy.staged else LISTED_BEFORE_S
+        """Load the list from before the power loss, all of it cold if staged; then apply later reports."""
+        listed_start_s = self._events.now if self.strategy.staged else PRE_LOSS_START_S
         warehouses = self._fleet.warehouses
         entries = tuple(
-            _endpoint(index, EndpointState.READY, listed_start) for index in range(len(warehouses))
+            _endpoint(index, EndpointState.READY, listed_start_s) for index in range(len(warehouses))
         )
         self._handle(gateway, EndpointList(ListScope.SNAPSHOT, entries))
         for index, warehouse in enumerate(warehouses):
@@ -339,8 +343,8 @@
     def _tick(self) -> None:
         now = self._events.now
         self._events.schedule(now + TICK_S, self._tick)
-        self._fleet.warm_up()
-        lost = [
+        self._fleet.update_speeds()
+        down = [
             index not in self._gateways or self._gateways[index].started_at > now
             for index in range(self.loss.front_ends)
         ]
@@ -351,11 +355,11 @@
             if gateway.started_at > now or gateway.stages is None:
                 continue
             gateway.stages.advance(now, conditions)
-            if self.strategy is Strategy.STAGED and now >= DEATH_KNOWN_S:
-                gateway.fleet_size.update(now, lost, 0)
+            if self.strategy is Strategy.STAGED and now >= FAILURE_DETECTION_S:
+                gateway.fleet_size.update(now, down, 0)
 
     def _handle(self, gateway: SimulatedGateway, event: Event) -> None:
-        """Hand an event to a router and do what it decides."""
+        """Pass an event to a front end's router and execute the actions that it returns."""
         now = self._events.now
         for action in gateway.router.handle(int((EPOCH_S + now) * _US_PER_S), event):
             match action:
@@ -365,9 +369,9 @@
                 case Forward(number, engine, _):
                     self._forward(number, engine - 1)
                 case Reject(number, retry_after_us):
-                    self._end_rejected(gateway, number, retry_after_us / _US_PER_S)
+                    self._on_rejected(gateway, number, retry_after_us / _US_PER_S)
                 case Fail(number):
-                    self._end_failed(number)
+                    self._on_failed(number)
                 case CancelAttempt(number, _):
                     self._events.schedule(now, partial(self._cancel, number))
 
@@ -375,18 +379,18 @@
         request = self._requests[number]
         request.attempts += 1
         request.warehouse = warehouse
-        request.attempt_began_at = self._events.now
-        self._fleet.begin(warehouse, number, request.kind.threads, request.seconds)
+        request.attempt_started_at = self._events.now
+        self._fleet.start_attempt(warehouse, number, request.kind.threads, request.execution_s)
 
-    def _end(self, number: int) -> SimulatedRequest | None:
-        """Forget a request and stop its attempt; None where it has ended already."""
+    def _remove_request(self, number: int) -> SimulatedRequest | None:
+        """Remove a request and cancel its attempt; returns None if the request has already ended."""
         request = self._requests.pop(number, None)
         if request is not None and request.warehouse >= 0:
             self._fleet.cancel(request.warehouse, number)
         return request
 
-    def _end_rejected(self, gateway: SimulatedGateway, number: int, retry_after_s: float) -> None:
-        request = self._end(number)
+    def _on_rejected(self, gateway: SimulatedGateway, number: int, retry_after_s: float) -> None:
+        request = self._remove_request(number)
         if request is None:
             return
         if gateway.recovering:
@@ -395,10 +399,10 @@
             retry_after_s = self._random.uniform(0.0, MAX_RETRY_AFTER_S)
         self._reject(request, retry_after_s)
 
-    def _end_failed(self, number: int) -> None:
-        request = self._end(number)
+    def _on_failed(self, number: int) -> None:
+        request = self._remove_request(number)
         if request is not None:
-            self._record.lost(request.kind)
+            self._statistics.record_loss(request.kind)
 
     def _cancel(self, number: int) -> None:
         request = self._requests.get(number)
--- a/lilacfront/lab/recovery_simulation_cli.py
+++ b/lilacfront/lab/recovery_simulation_cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront lab comeback`: strategies of recovery from a power loss over many seeds: a table and a plot."""
+"""`lilacfront lab comeback`: compares strategies of recovery from a power loss in a table and a plot."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from lilacfront.lab.recovery_simulation import PowerLossSimulation
 
 HEADER = (
-    "| | 90% of the worth served again after, s | first read served, s | worth lost, part | "
-    "warehouses that fell | refusals |\n| --- | --- | --- | --- | --- | --- |"
+    "| | 90% of the priority weight served after, s | first read served, s | fraction of weight lost | "
+    "warehouse failures | rejections |\n| --- | --- | --- | --- | --- | --- |"
 )
-TRIMMED_DIVISOR = 20  # one in so many values is left out at either end of a spread
+TRIMMED_DIVISOR = 20  # a spread omits the lowest and the highest 1/20 of the values
 RECOVERED_FRACTION = 0.9
 LOW_QUANTILE, HIGH_QUANTILE = 0.05, 0.95
 
@@ -31,17 +31,17 @@
 
 
 def _spread(values: list[float], digits: int) -> str:
-    """The median, and between which values nine in ten lie."""
-    known = sorted(value for value in values if not math.isnan(value))
-    if not known:
+    """The median and the range of the middle 90% of the values; NaN values are left out."""
+    finite = sorted(value for value in values if not math.isnan(value))
+    if not finite:
         return "never"
-    cut = len(known) // TRIMMED_DIVISOR
-    low, high = known[cut], known[-1 - cut]
-    return f"{median(known):.{digits}f} ({low:.{digits}f} to {high:.{digits}f})"
+    trimmed = len(finite) // TRIMMED_DIVISOR
+    low, high = finite[trimmed], finite[-1 - trimmed]
+    return f"{median(finite):.{digits}f} ({low:.{digits}f} to {high:.{digits}f})"
 
 
 def row(strategy: Strategy, results: list[SimulationResult]) -> str:
-    """One row of the table."""
+    """The table row of a strategy."""
     never = sum(math.isnan(result.recovered_s) for result in results)
     cells = [
         _spread([result.recovered_s for result in results], 1) + (f"; {never} never" if never else ""),
@@ -54,21 +54,21 @@
 
 
 def plot(results: Results, title: str, out: Path) -> None:
-    """Draw the weight served in each second: the median and nine in ten seeds."""
+    """Plot the weight served in each second: the median and the range of 90% of the seeds."""
     import numpy as np
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(8.0, 4.0))
     axes = figure.subplots()
-    for strategy, found in results.items():
-        table = np.array([result.curve for result in found])
-        seconds = np.arange(table.shape[1])
-        (line,) = axes.plot(seconds, np.median(table, axis=0), label=strategy.value)
-        low, high = np.quantile(table, [LOW_QUANTILE, HIGH_QUANTILE], axis=0)
+    for strategy, outcomes in results.items():
+        curves = np.array([result.curve for result in outcomes])
+        seconds = np.arange(curves.shape[1])
+        (line,) = axes.plot(seconds, np.median(curves, axis=0), label=strategy.value)
+        low, high = np.quantile(curves, [LOW_QUANTILE, HIGH_QUANTILE], axis=0)
         axes.fill_between(seconds, low, high, color=line.get_color(), alpha=0.12)
     axes.axhline(RECOVERED_FRACTION, color="grey", linewidth=0.6)
-    axes.set_xlabel("seconds after the power is back")
-    axes.set_ylabel("worth served, of an ordinary second's")
+    axes.set_xlabel("time since the power returned, s")
+    axes.set_ylabel("priority weight served, fraction of normal")
     axes.set_title(title, fontsize=9)
     axes.legend(fontsize=7)
     out.parent.mkdir(parents=True, exist_ok=True)
@@ -83,7 +83,7 @@
 
 
 def _compare(pool: Pool, loss: PowerLoss, seeds: int) -> Results:
-    """Simulate a power loss with each strategy, and print a row for each."""
+    """Simulate a power loss with each strategy and print a table row for each."""
     results: Results = {}
     for strategy in Strategy:
         jobs = [(loss, strategy, seed) for seed in range(1, seeds + 1)]
@@ -98,9 +98,13 @@
 )
 @click.option("--seeds", type=click.IntRange(1, 1000), default=20, show_default=True)
 @click.option("--processes", type=click.IntRange(1, 64), default=4, show_default=True)
-@click.option("--out", type=click.Path(file_okay=False, path_type=Path), help="Where to draw plots.")
+@click.option(
+    "--out",
+    type=click.Path(file_okay=False, path_type=Path),
+    help="Directory for plots; no plots without it.",
+)
 def command(files: tuple[Path, ...], seeds: int, processes: int, out: Path | None) -> None:
-    """Simulate power losses (TOML) with each strategy of recovery; a table in Markdown."""
+    """Simulate the power losses in TOML files with each recovery strategy and print Markdown tables."""
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
         for path in files:
             loss = _read(path)
--- a/lilacfront/lab/recovery_warehouses.py
+++ b/lilacfront/lab/recovery_warehouses.py
@@ -1,4 +1,4 @@
-"""Warehouses of the simulation of recovery: they start cold, warm up, and fail when they are overloaded."""
+"""Models of warehouses for the simulation of recovery, with cold start, warm-up and failure on overload."""
 
 from __future__ import annotations
 
@@ -20,26 +20,34 @@
 )
 from lilacfront.recovery.retry_after import warm_up_curve
 
-DISCOVERY_DELAY_S: Final = 0.5  # until discovery reports a warehouse that has started or failed
-DOWNTIME_S: Final = 3.0  # of a warehouse that failed
-CONNECT_FAILURE_S: Final = 0.01
+DISCOVERY_DELAY_S: Final = 0.5  # time until discovery reports the start or failure of a warehouse
+DOWNTIME_S: Final = 3.0  # time from the failure of a warehouse to its restart
+CONNECT_FAILURE_S: Final = 0.01  # time until a connection attempt to a stopped warehouse fails
 
 
 @dataclass(slots=True)
 class SimulatedWarehouse:
-    """One warehouse; `end_number` numbers the planned ends of attempts, of which only the last holds."""
+    """A warehouse.
+
+    Attributes:
+        engine: The model of its execution.
+        started_at: Time of its last start.
+        recent_work: Start time and thread-seconds of the attempts within `OVERLOAD_WINDOW_S`.
+        completion_version: Number of times that the next completion was scheduled. Scheduled completions
+            with an older version are stale and ignored.
+    """
 
     engine: EngineModel
     started_at: float
-    recent_work: deque[tuple[float, float]] = field(default_factory=deque)  # when, thread-seconds
-    end_number: int = 0
+    recent_work: deque[tuple[float, float]] = field(default_factory=deque)
+    completion_version: int = 0
 
     def capacity_fraction(self, now: float) -> float:
-        """The fraction of its cores that it can use."""
+        """The fraction of its cores that is usable at a time during the warm-up."""
         return warm_up_curve(COLD_CAPACITY_FRACTION, WARM_UP_S, self.started_at)(now)
 
     def overloaded(self, now: float, thread_seconds: float) -> bool:
-        """Whether one more attempt is more than the warehouse bears; counts the attempt."""
+        """Add an attempt to the recent work and return whether the warehouse is overloaded."""
         self.recent_work.append((now, thread_seconds))
         while self.recent_work[0][0] < now - OVERLOAD_WINDOW_S:
             self.recent_work.popleft()
@@ -49,19 +57,19 @@
 
 
 class WarehouseListener(Protocol):
-    """Who hears of warehouses."""
+    """Receives events of the simulated warehouses."""
 
     def attempt_ended(self, number: int, result: AttemptResult) -> None:
-        """An attempt has ended."""
+        """Handle the end of an attempt."""
         ...
 
     def endpoint_changed(self, index: int, state: EndpointState) -> None:
-        """Discovery reports a warehouse."""
+        """Handle a change that discovery reports of a warehouse."""
         ...
 
 
 class WarehouseFleet:
-    """All warehouses of a simulation."""
+    """The warehouses of a simulation."""
 
     def __init__(self, events: EventQueue, starts: list[float], listener: WarehouseListener) -> None:
         self.warehouses = [SimulatedWarehouse(EngineModel(CORES, running=False), at) for at in starts]
@@ -70,26 +78,26 @@
         self._listener = listener
 
     def schedule_starts(self) -> None:
-        """Have every warehouse start at its time."""
+        """Schedule the start of every warehouse."""
         for index, warehouse in enumerate(self.warehouses):
             self._events.schedule(warehouse.started_at, partial(self._start, index))
 
     def discovered(self, warehouse: SimulatedWarehouse) -> bool:
-        """Whether a warehouse is up and discovery has reported it."""
+        """Whether a warehouse is running and discovery has reported it."""
         return warehouse.engine.running and warehouse.started_at + DISCOVERY_DELAY_S <= self._events.now
 
-    def warm_up(self) -> None:
-        """Adapt the speed of the warehouses to their age."""
+    def update_speeds(self) -> None:
+        """Set the speed of each warehouse to its current capacity fraction."""
         now = self._events.now
         for index, warehouse in enumerate(self.warehouses):
             fraction = warehouse.capacity_fraction(now)
             if warehouse.engine.running and warehouse.engine.speed != fraction:
                 warehouse.engine.advance(now)
                 warehouse.engine.speed = fraction
-                self._plan_end(index)
+                self._schedule_completion(index)
 
-    def begin(self, index: int, number: int, threads: int, seconds: float) -> None:
-        """Begin an attempt at a warehouse."""
+    def start_attempt(self, index: int, number: int, threads: int, seconds: float) -> None:
+        """Start an attempt at a warehouse."""
         warehouse = self.warehouses[index]
         now = self._events.now
         if not warehouse.engine.running:
@@ -100,15 +108,15 @@
         warehouse.engine.start_execution(number, threads, seconds)
         if warehouse.overloaded(now, threads * seconds):
             self._events.schedule(now, partial(self._fail_if_up, index))
-        self._plan_end(index)
+        self._schedule_completion(index)
 
     def cancel(self, index: int, number: int) -> None:
-        """Stop an attempt, if it still runs."""
+        """Cancel an attempt if it is still running."""
         engine = self.warehouses[index].engine
         if number in engine.executions:
             engine.advance(self._events.now)
             del engine.executions[number]
-            self._plan_end(index)
+            self._schedule_completion(index)
 
     def _start(self, index: int) -> None:
         warehouse = self.warehouses[index]
@@ -126,9 +134,9 @@
         engine = self.warehouses[index].engine
         self.failures += 1
         engine.running = False
-        broken = list(engine.executions)
+        interrupted = list(engine.executions)
         engine.executions = {}
-        for number in broken:
+        for number in interrupted:
             self._listener.attempt_ended(number, AttemptResult.RESET)
         self._report(index, EndpointState.REMOVED)
         self._events.schedule(self._events.now + DOWNTIME_S, partial(self._start, index))
@@ -137,19 +145,19 @@
         report = partial(self._listener.endpoint_changed, index, state)
         self._events.schedule(self._events.now + DISCOVERY_DELAY_S, report)
 
-    def _plan_end(self, index: int) -> None:
+    def _schedule_completion(self, index: int) -> None:
         warehouse = self.warehouses[index]
-        warehouse.end_number += 1
-        end_at = warehouse.engine.next_completion_at()
-        if end_at < math.inf:
-            ends = partial(self._end_attempts, index, warehouse.end_number)
-            self._events.schedule(max(self._events.now, end_at), ends)
+        warehouse.completion_version += 1
+        completion_at = warehouse.engine.next_completion_at()
+        if completion_at < math.inf:
+            complete = partial(self._complete_attempts, index, warehouse.completion_version)
+            self._events.schedule(max(self._events.now, completion_at), complete)
 
-    def _end_attempts(self, index: int, end_number: int) -> None:
+    def _complete_attempts(self, index: int, version: int) -> None:
         warehouse = self.warehouses[index]
-        if warehouse.end_number != end_number:
+        if warehouse.completion_version != version:
             return
         warehouse.engine.advance(self._events.now)
         for number in warehouse.engine.remove_completed():
             self._listener.attempt_ended(number, AttemptResult.OK)
-        self._plan_end(index)
+        self._schedule_completion(index)
--- a/tests/lab/test_fault_model.py
+++ b/tests/lab/test_fault_model.py
@@ -1,11 +1,10 @@
-"""Behaviours of stand-ins."""
+"""Validation of the behaviour files of stand-in servers."""
 
 from __future__ import annotations
 
 import pytest
 
-from lilacfront.lab.fault_model import BehaviourError
-from lilacfront.lab.fault_model import parse_behaviour as behaviour
+from lilacfront.lab.fault_model import BehaviourError, parse_behaviour
 
 
 @pytest.mark.parametrize(
@@ -18,6 +17,6 @@
         "dealy = 1",
     ],
 )
-def test_a_behaviour_that_cannot_be_used_is_refused(text: str) -> None:
+def test_invalid_behaviour_is_rejected(text: str) -> None:
     with pytest.raises(BehaviourError):
-        behaviour(text.encode())
+        parse_behaviour(text.encode())
--- a/tests/lab/test_log_summary.py
+++ b/tests/lab/test_log_summary.py
@@ -15,7 +15,7 @@
 )
 
 
-def test_answers_and_attempts_of_a_log_are_counted(tmp_path: Path) -> None:
+def test_answers_and_attempts_are_counted(tmp_path: Path) -> None:
     (tmp_path / "n0.log").write_text(
         "1.0 " + LOGGER + "request received request=1 call_id=ab class_index=0 at=10.0 deadline=14.0\n"
         "cut sho\n"
--- a/tests/lab/test_recovery_exploration.py
+++ b/tests/lab/test_recovery_exploration.py
@@ -1,23 +1,23 @@
-"""The exploration of power losses: the properties hold, and it sees each of them violated."""
+"""Exploration of power losses: all properties hold, and each disabled mechanism violates one."""
 
 import pytest
 
-from lilacfront.lab.recovery_exploration import Faults, Property, explore
+from lilacfront.lab.recovery_exploration import Mechanisms, Property, explore
 
 
-def test_the_properties_hold_on_every_path_of_two_front_ends_to_a_power_loss_and_back() -> None:
+def test_properties_hold_on_all_paths_through_a_power_loss() -> None:
     found = explore(8)
     assert found.violations == {}
     assert found.states > 5000
 
 
 @pytest.mark.parametrize(
-    ("faults", "violation"),
+    ("mechanisms", "violation"),
     [
-        (Faults(returns_directives=False), Property.DIRECTIVES_SURVIVE),
-        (Faults(remembers_loads=False), Property.LOADS_RUN_ONCE),
-        (Faults(offers_lists=False), Property.DRAINED_GET_NOTHING),
+        (Mechanisms(directive_replicas=False), Property.DIRECTIVES_SURVIVE),
+        (Mechanisms(started_loads=False), Property.LOADS_SENT_ONCE),
+        (Mechanisms(list_offers=False), Property.NO_REQUESTS_WHILE_DRAINING),
     ],
 )
-def test_an_injected_fault_is_seen_as_a_violation(faults: Faults, violation: Property) -> None:
-    assert violation in explore(6, faults).violations
+def test_disabled_mechanism_is_reported_as_a_violation(mechanisms: Mechanisms, violation: Property) -> None:
+    assert violation in explore(6, mechanisms).violations
--- a/tests/lab/test_recovery_simulation.py
+++ b/tests/lab/test_recovery_simulation.py
@@ -1,4 +1,4 @@
-"""The simulation of power losses: service returns, and the same seed gives the same result."""
+"""Simulation of power losses: service recovers, and runs with the same seed give the same result."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize("strategy", Strategy)
-def test_service_returns_and_no_cold_warehouse_fails(strategy: Strategy) -> None:
+def test_service_recovers_without_a_warehouse_failure(strategy: Strategy) -> None:
     result = simulate(strategy)
     assert result.recovered_s < 25.0
     assert result.warehouse_failures == 0
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("strategy", Strategy)
-def test_the_same_seed_gives_the_same_result(strategy: Strategy) -> None:
-    one, again = simulate(strategy), simulate(strategy)
-    assert one.curve == again.curve
-    assert one.warehouse_failures == again.warehouse_failures
+def test_same_seed_gives_the_same_result(strategy: Strategy) -> None:
+    first, second = simulate(strategy), simulate(strategy)
+    assert first.curve == second.curve
+    assert first.warehouse_failures == second.warehouse_failures
--- a/tests/recovery/test_store.py
+++ b/tests/recovery/test_store.py
@@ -46,12 +46,12 @@
 @pytest.mark.parametrize("second_end", [0, 1, 5, 12])
 def test_synced_records_survive_a_crash_or_power_loss_at_any_step(power_loss: bool, second_end: int) -> None:
     result = sweep(power_loss, second_end)
-    assert result.points > 100
-    assert (result.wrong, result.failed) == (0, 0)
+    assert result.runs > 100
+    assert (result.wrong_restores, result.failed_starts) == (0, 0)
 
 
 def test_the_sweep_detects_a_store_that_does_not_sync() -> None:
-    assert sweep(True, syncs=False).wrong > 0
+    assert sweep(True, syncs=False).wrong_restores > 0
 
 
 def test_truncated_or_corrupted_journal_restores_an_earlier_state(tmp_path: Path) -> None:
