--- a/lilacfront/lab/baseline_detectors.py
+++ b/lilacfront/lab/baseline_detectors.py
@@ -1,6 +1,6 @@
-"""Failure detectors that the program's is compared with, on the same scripts and without a limit on the rate.
+"""Baseline failure detectors to compare with the program's own, on the same scripts and without a rate limit.
 
-Each sends what it would send on the wire: a header and its entries, in messages of at most 256 bytes.
+The size of each message is that on the wire: a header and the entries, at most 256 bytes.
 """
 
 from __future__ import annotations
@@ -19,17 +19,19 @@
 
 ENTRY = struct.Struct(">HI")  # member, counter
 MAX_ENTRIES = (MAX_DATAGRAM_BYTES - HEADER.size) // ENTRY.size
-COUNTERS_PER_S = 10  # a start's first counter is above those of the one before it
+COUNTERS_PER_S = 10  # counters follow the time, so a restart begins above the previous counters
 MIN_PROBABILITY = 1e-300
 
 
 class HeartbeatDetector:
-    """A heartbeat to every member in each interval; dead is who was silent for `TIMEOUT_S`."""
+    """Sends a heartbeat to every member in each interval; a member silent for `TIMEOUT_S` is dead."""
 
     INTERVAL_S = 1.0
     TIMEOUT_S = 3.5
 
-    def __init__(self, number: int, script: FaultScript, seed: int, now: float, _clock: float) -> None:
+    def __init__(
+        self, number: int, script: FaultScript, seed: int, now: float, _clock_offset_s: float
+    ) -> None:
         self.number = number
         self.members = script.members
         self.now = now
@@ -39,11 +41,11 @@
         self._next_at = now + self._random.random() * self.INTERVAL_S
 
     def next_deadline(self) -> float:
-        """When `tick` next has something to do."""
+        """The time at which `tick` must be called next."""
         return self._next_at
 
     def tick(self, now: float) -> list[OutgoingDatagram]:
-        """Send the heartbeats that are due."""
+        """Return the heartbeats to send, if the interval has elapsed."""
         self.now = now
         if now < self._next_at:
             return []
@@ -59,18 +61,18 @@
         self.sent_bytes += len(data) + IP_UDP_HEADER_BYTES
         return data
 
-    def receive(self, now: float, place: int, _data: bytes) -> list[OutgoingDatagram]:
-        """Note a heartbeat of member `place`."""
+    def receive(self, now: float, sender: int, _data: bytes) -> list[OutgoingDatagram]:
+        """Record the time of a heartbeat of a member."""
         self.now = now
-        self.last_contact_at[place] = now
+        self.last_contact_at[sender] = now
         return []
 
     def leave(self, _now: float) -> list[OutgoingDatagram]:
-        """Leave without a word."""
+        """Leave without an announcement; peers detect it as a failure."""
         return []
 
     def failed_members(self) -> set[int]:
-        """The members that it holds dead."""
+        """The members that are dead in this member's view."""
         return {member for member in range(self.members) if member != self.number and self._is_silent(member)}
 
     def _is_silent(self, member: int) -> bool:
@@ -78,24 +80,28 @@
 
 
 class AccrualDetector(HeartbeatDetector):
-    """The same heartbeats; dead is whose silence is improbable, by the spread of its intervals.
+    """Phi accrual failure detector on the same heartbeats.
 
-    Hayashibara et al., "The phi accrual failure detector" (2004), with a normal distribution.
+    A member is dead once its silence is improbable under a normal distribution fitted to its last `WINDOW`
+    heartbeat intervals: phi, the negative decimal logarithm of the probability, exceeds `MAX_PHI`.
+    Hayashibara et al., "The phi accrual failure detector" (2004).
     """
 
     MAX_PHI = 8.0
-    WINDOW = 100  # intervals
+    WINDOW = 100  # heartbeat intervals
     MIN_DEVIATION_S = 0.1
 
-    def __init__(self, number: int, script: FaultScript, seed: int, now: float, clock: float) -> None:
-        super().__init__(number, script, seed, now, clock)
+    def __init__(
+        self, number: int, script: FaultScript, seed: int, now: float, clock_offset_s: float
+    ) -> None:
+        super().__init__(number, script, seed, now, clock_offset_s)
         initial = [self.INTERVAL_S] * 2
         self._intervals = [deque(initial, maxlen=self.WINDOW) for _ in range(self.members)]
 
-    def receive(self, now: float, place: int, data: bytes) -> list[OutgoingDatagram]:
-        """Note a heartbeat of member `place`, and the interval before it."""
-        self._intervals[place].append(now - self.last_contact_at[place])
-        return super().receive(now, place, data)
+    def receive(self, now: float, sender: int, data: bytes) -> list[OutgoingDatagram]:
+        """Record a heartbeat of a member and the interval before it."""
+        self._intervals[sender].append(now - self.last_contact_at[sender])
+        return super().receive(now, sender, data)
 
     def _is_silent(self, member: int) -> bool:
         intervals = self._intervals[member]
@@ -108,8 +114,11 @@
 
 
 class GossipCounterDetector(HeartbeatDetector):
-    """Gossip of heartbeat counters: in each interval, to two members, those that rose of late.
+    """Gossip-style failure detector with heartbeat counters.
 
+    In each interval a member increases its own counter and sends it to `FANOUT` random members, each time
+    with the counters of a random sample of the live members. A member is dead if its counter has not risen
+    for `TIMEOUT_S`.
     Van Renesse, Minsky and Hayden, "A gossip-style failure detection service" (1998).
     """
 
@@ -117,8 +126,10 @@
     TIMEOUT_S = 5.0
     FANOUT = 2
 
-    def __init__(self, number: int, script: FaultScript, seed: int, now: float, clock: float) -> None:
-        super().__init__(number, script, seed, now, clock)
+    def __init__(
+        self, number: int, script: FaultScript, seed: int, now: float, clock_offset_s: float
+    ) -> None:
+        super().__init__(number, script, seed, now, clock_offset_s)
         self._counters = [0] * self.members
         self._own_counter = int(now * COUNTERS_PER_S)
 
@@ -129,21 +140,21 @@
         datagrams = []
         for _ in range(self.FANOUT):
             peer = self._random.randrange(self.members - 1)
-            is_behind_own = peer >= self.number
-            datagrams.append(OutgoingDatagram(peer + is_behind_own, self._message(self._entries())))
+            skip_own_number = peer >= self.number
+            datagrams.append(OutgoingDatagram(peer + skip_own_number, self._message(self._entries())))
         return datagrams
 
     def _entries(self) -> bytes:
-        live = [member for member in range(self.members) if not self._is_silent_at(member)]
-        drawn = self._random.sample(live, min(MAX_ENTRIES - 1, len(live)))
-        members = {self.number, *drawn}
+        live = [member for member in range(self.members) if not self._has_timed_out(member)]
+        sampled = self._random.sample(live, min(MAX_ENTRIES - 1, len(live)))
+        members = {self.number, *sampled}
         return b"".join(ENTRY.pack(member, self._counters[member]) for member in members)
 
-    def _is_silent_at(self, member: int) -> bool:
+    def _has_timed_out(self, member: int) -> bool:
         return self.now - self.last_contact_at[member] >= self.TIMEOUT_S
 
-    def receive(self, now: float, _place: int, data: bytes) -> list[OutgoingDatagram]:
-        """Note the counters that have risen."""
+    def receive(self, now: float, _sender: int, data: bytes) -> list[OutgoingDatagram]:
+        """Store each counter that has risen, and the time."""
         self.now = now
         for member, counter in ENTRY.iter_unpack(data[HEADER.size :]):
             if counter > self._counters[member]:
@@ -153,15 +164,19 @@
 
 
 def _with_suspicion(min_suspicion_s: float, max_suspicion_s: float) -> MemberFactory:
-    """The program's detector with these timeouts of suspicions."""
+    """Return a factory of members with the program's detector and these suspicion timeouts."""
 
-    def make(number: int, script: FaultScript, seed: int, now: float, clock: float) -> SimulatedMember:
+    def make_member(
+        number: int, script: FaultScript, seed: int, now: float, clock_offset_s: float
+    ) -> SimulatedMember:
         changed = msgspec.structs.replace(
             script.membership, min_suspicion_s=min_suspicion_s, max_suspicion_s=max_suspicion_s
         )
-        return DetectorMember(number, msgspec.structs.replace(script, membership=changed), seed, now, clock)
+        return DetectorMember(
+            number, msgspec.structs.replace(script, membership=changed), seed, now, clock_offset_s
+        )
 
-    return make
+    return make_member
 
 
 DETECTORS: dict[str, MemberFactory] = {
--- a/lilacfront/lab/blackout_cli.py
+++ b/lilacfront/lab/blackout_cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront lab blackout`: power losses of real front ends by a script, and what each did then."""
+"""`lilacfront lab blackout`: power losses of real front ends by a script, with a table of their recovery."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 HEADER = (
     "| front end, start | restored from disk: directives, list, loads | directives from peers | "
-    "stages, s after it listens | journals ignored or truncated |\n| --- | --- | --- | --- | --- |"
+    "stages, s after listening | journals ignored or truncated |\n| --- | --- | --- | --- | --- |"
 )
 
 
 def recovery_cells(process: FrontEndProcess) -> list[str]:
-    """What one process logged of its recovery, as cells of a row."""
+    """The table cells of one process, taken from its log of the recovery."""
     listening = process.logged("listening")
-    began = float(listening[0]["ts"]) if listening else 0.0
+    listening_at = float(listening[0]["ts"]) if listening else 0.0
 
     def last(event: str) -> dict[str, Any]:
-        found = process.logged(event)
-        return found[-1] if found else {}
+        lines = process.logged(event)
+        return lines[-1] if lines else {}
 
     restored = last("recovery state restored")
     from_disk = ", ".join(str(restored.get(key, "-")) for key in ("directives", "seq", "loads"))
     from_peers = last("directives restored from peer").get("directives", "-")
     stages = ", ".join(
-        f"{line['stage']} {float(line['ts']) - began:.2f}{' stale' if line['endpoints_stale'] else ''}"
+        f"{line['stage']} {float(line['ts']) - listening_at:.2f}{' stale' if line['endpoints_stale'] else ''}"
         for line in process.logged("recovery stage entered")
     )
     damaged = [*process.logged("recovery journal ignored"), *process.logged("recovery journal truncated")]
@@ -47,22 +47,22 @@
 )
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 def command(scripts: tuple[Path, ...], seed: int) -> None:
-    """Play scripts with power losses on real front ends; the same files as for `lab fleet`."""
+    """Run scripts with power losses on real front ends. The format is that of `lab fleet`."""
     for path in scripts:
         try:
             script = parse_script(path.read_bytes())
         except ScriptError as error:
             raise click.ClickException(f"{path}: {error}") from error
         if not script.recovery.enabled:
-            raise click.ClickException(f"{path}: recovery.directory: no state is stored without one")
+            raise click.ClickException(f"{path}: recovery.directory is not set, so no state would be stored")
         click.echo(f"\n{path.stem}\n\n{HEADER}")
         with tempfile.TemporaryDirectory(prefix="lilacfront-blackout-") as folder:
             fleet = Fleet(Path(folder), script, seed)
             try:
                 result = FleetRun(fleet.wait_until_ready()).play()
-                for n, test_bed in enumerate(fleet.test_beds):
-                    for turn, process in enumerate(test_bed.processes):
-                        click.echo(f"| {n}, {turn} | {' | '.join(recovery_cells(process))} |")
+                for index, test_bed in enumerate(fleet.test_beds):
+                    for start, process in enumerate(test_bed.processes):
+                        click.echo(f"| {index}, {start} | {' | '.join(recovery_cells(process))} |")
             finally:
                 fleet.close()
         click.echo(f"requests: {describe_endings(result.request_endings)}")
--- a/lilacfront/lab/explore.py
+++ b/lilacfront/lab/explore.py
@@ -26,7 +26,7 @@
 from lilacfront.lab.network_model import NetworkModel
 
 MEMBERS = 3
-FAULT_TIMES_S = (1.0, 1.7, 2.4, 3.1)  # before, while and after a probe fails, and during a suspicion
+FAULT_TIMES_S = (1.0, 1.7, 2.4, 3.1)  # before, during and after a probe failure, and during a suspicion
 RESTART_DELAY_S = 0.01
 HEAL_AT_S = 5.0
 DURATION_S = 17.0
@@ -130,7 +130,7 @@
 
         script = _to_script(schedule)
         super().__init__(script, SEED, make_member)
-        self._net = LossyNetwork(script, self._random, schedule.lost_datagrams, lambda: self.now)
+        self._network = LossyNetwork(script, self._random, schedule.lost_datagrams, lambda: self.now)
         self._incarnations: dict[tuple[int, int], list[int]] = {}
         self.violation = ""
 
--- a/lilacfront/lab/fault_injection.py
+++ b/lilacfront/lab/fault_injection.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a script into a fleet of real processes."""
+"""Injection of the faults of a script into a fleet of real processes."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class FaultInjector:
-    """Injects faults into a fleet."""
+    """Injects faults into the front ends, warehouses, network and change log of a fleet."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
 
     def inject(self, fault: Fault) -> list[int]:
-        """Inject a fault now, and return its targets."""
+        """Inject a fault and return the numbers of its targets."""
         targets = self._targets(fault)
         if fault.action in WAREHOUSE_ACTIONS:
             self._apply_to_warehouses(fault)
@@ -110,11 +110,11 @@
         other = (member + 1) % fleet.script.members
         fleet.replace_recovery_directory(member, fleet.recovery_directories[other])
         directory = fleet.recovery_directories[member]
-        for path in directory.iterdir():  # under the names that this front end looks for
+        for path in directory.iterdir():  # journal names contain the front end's name
             path.rename(directory / path.name.replace(f".n{other}.", f".n{member}."))
 
     def _corrupt_journals(self, member: int, truncate: bool) -> None:
-        """Truncate the journals at a drawn byte, or flip a drawn bit of it."""
+        """Truncate each journal at a random byte, or flip a random bit in it."""
         rng = self._fleet.relays.network.rng
         for path in self._fleet.recovery_directories[member].glob("*.journal"):
             data = bytearray(path.read_bytes())
--- a/lilacfront/lab/fault_script.py
+++ b/lilacfront/lab/fault_script.py
@@ -1,6 +1,6 @@
-"""Scripts of fault injection between front ends: their TOML form, its checks and the timeline of faults.
+"""Scripts for fault injection among front ends: TOML format, validation and the timeline of faults.
 
-`members.py` plays a script in a simulation, `fleet_run.py` on real processes.
+`members.py` runs a script in a simulation, `fleet_run.py` with real processes.
 """
 
 from __future__ import annotations
@@ -41,25 +41,26 @@
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """One fault to inject, or its end.
+    """A fault to inject, or the end of one.
 
     Attributes:
         at_s: Seconds after the start of the script.
-        action: `kill`, `start`, `leave`, and `stop` and `continue` (a pause of the process) of front ends;
-            `cut` and `heal` of a network partition; `lie`: members send false updates. Of real processes
-            alone: `shut`, `open` (a warehouse's listener), `hold` and `serve` (its answers); `blackout`: a
-            power loss of all front ends; `spoil`: their files are corrupted; `log`: a fault of the change
-            log.
-        mode: Of `spoil`: files are truncated at a drawn byte (`cut`), have a bit flipped (`flip`), are taken
-            from the next front end (`swap`) or from the start of the script (`old`), or are removed
-            (`remove`); of `log`: unreachable (`away`), reachable (`back`), or renumbered with the present
-            list (`anew`).
-        targets: The members or warehouses that are meant, by number.
-        target_fraction: In place of `targets`: this fraction of the running members, drawn with the seed.
-        destinations: Of a cut: the members that the targets can't reach; empty: all others.
-        bidirectional: Of a cut: whether the destinations can't reach the targets either.
-        clock_offset_s: Of a start: seconds by which the member's wall clock is off.
-        lie: What the members of a `lie` report.
+        action: For front ends: `kill`, `start`, `leave`, and `stop` and `continue`, which pause and resume
+            the process. For the network: `cut` creates a partition, `heal` removes all partitions. `lie`:
+            members send false updates. For real processes only: `shut` and `open` close and reopen a
+            warehouse's listener; `hold` and `serve` withhold and release its answers; `blackout` is a power
+            loss of all front ends; `spoil` corrupts their files; `log` is a fault of the change log.
+        mode: For `spoil`: files are truncated at a random byte (`cut`), have a bit flipped (`flip`), are
+            replaced by those of the next front end (`swap`) or from the start of the script (`old`), or are
+            removed (`remove`). For `log`: it becomes unreachable (`away`) or reachable (`back`), or restarts
+            its numbering with the current list (`anew`).
+        targets: Numbers of the affected members or warehouses.
+        target_fraction: If not 0, replaces `targets` by this fraction of the running members, drawn with
+            the seed.
+        destinations: For `cut`: the members that the targets can't reach; empty: all others.
+        bidirectional: For `cut`: whether the destinations can't reach the targets either.
+        clock_offset_s: For `start`: offset of the member's wall clock, in seconds.
+        lie: For `lie`: the false updates that the members send.
     """
 
     at_s: float = msgspec.field(name="at")
@@ -78,20 +79,20 @@
 
     Attributes:
         members: Number of front ends.
-        duration_s: Length of the run.
+        duration_s: Duration of the run.
         loss_fraction: Fraction of the datagrams that are lost.
         duplicate_fraction: Fraction of the datagrams that are sent twice.
-        late_fraction: Fraction of the datagrams that take up to `max_late_delay_s`.
-        max_late_delay_s: The longest delay of a late datagram.
-        delay_range_s: The shortest and longest delay of the others.
+        late_fraction: Fraction of the datagrams that are late, with a delay of 0 to `max_late_delay_s`.
+        max_late_delay_s: Maximum delay of a late datagram.
+        delay_range_s: Minimum and maximum delay of all other datagrams.
         membership: Settings of the failure detector.
         faults: The faults, in any order.
-        repeat_interval_s: The faults are repeated after each such interval, each time of the next members;
-            0: never.
-        warehouses: Number of warehouses; of real processes alone, as are all below.
-        requests_per_s: Lookups that are sent to each front end.
-        recovery: Settings of the recovery store; any directory enables it, each front end has its own.
-        legacy_members: Members that run without membership, as an earlier version does.
+        repeat_interval_s: Interval after which all faults are repeated, with the member numbers increased
+            by one each time; 0: no repetition.
+        warehouses: Number of warehouses. This field and the following ones apply to real processes only.
+        requests_per_s: Rate of the lookups that are sent to each front end.
+        recovery: Settings of the recovery store; any directory enables it. Each front end uses its own.
+        legacy_members: Members that run without membership, like an earlier version of the program.
     """
 
     members: int = 50
@@ -128,7 +129,7 @@
 
 
 class ScriptError(SettingsError):
-    """A script that can't be played."""
+    """A script is invalid."""
 
 
 def parse_script(text: bytes) -> FaultScript:
@@ -160,4 +161,4 @@
         limit = script.warehouses if fault.action in WAREHOUSE_ACTIONS else script.members
         for number in (*fault.targets, *fault.destinations):
             if not 0 <= number < limit:
-                raise ScriptError(f"faults[{index}]", f"there is no {number}")
+                raise ScriptError(f"faults[{index}]", f"number {number} is not from 0 to {limit - 1}")
--- a/lilacfront/lab/injected_defects.py
+++ b/lilacfront/lab/injected_defects.py
@@ -1,4 +1,4 @@
-"""Defects that are injected into a failure detector, each of which the exploration has to find."""
+"""Defects to inject into a failure detector; the exploration of fault schedules has to find each of them."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 def _ignore(*_: object) -> None:
-    """Takes the place of a method that should react."""
+    """Replaces a method and does nothing."""
 
 
 def inject_nothing(detector: FailureDetector) -> None:
-    """Leave the detector as it is."""
+    """Leave the detector unchanged."""
 
 
 def inject_missing_refutation(detector: FailureDetector) -> None:
-    """The member does not refute what others report of it."""
+    """The member does not refute reports of its own failure."""
     detector.update_rules.accept_about_self = _ignore  # type: ignore[method-assign, assignment]
 
 
 def inject_missing_suspicion(detector: FailureDetector) -> None:
-    """A failed probe has no consequence."""
+    """A failed probe does not start a suspicion."""
     detector.prober.on_probe_failed = _ignore  # type: ignore[method-assign, assignment]
 
 
 def inject_stale_updates(detector: FailureDetector) -> None:
-    """Updates with older incarnations are accepted."""
+    """The view accepts updates with older incarnations."""
     view = detector.view
 
     def apply(update: MemberUpdate, now: float, reason: str) -> bool:  # noqa: ARG001 - the method's signature
@@ -40,7 +40,7 @@
     view.apply = apply  # type: ignore[method-assign]
 
 
-# By the words of the command line.
+# The keys are the values of the command line option `--spoil`.
 DEFECTS: dict[str, DefectInjector] = {
     "none": inject_nothing,
     "refutes nothing": inject_missing_refutation,
--- a/lilacfront/lab/members.py
+++ b/lilacfront/lab/members.py
@@ -1,8 +1,8 @@
-"""Simulation of 3 to 1,024 front ends that detect each other's failures, on one clock, by a seeded script.
+"""Discrete-event simulation of failure detection among 3 to 1,024 front ends, by a script and a seed.
 
-The failure detector is the program's; the network between the members is a model: loss, delay, duplicates,
-one-sided cuts, members that are paused, die, restart, leave or lie. What each holds is scored against the
-truth.
+The failure detector is the program's own or a baseline. The network is a model with loss, delay, duplicates
+and partitions, also in one direction only. Members may pause, die, restart, leave or send false updates. The
+members' views are scored against their actual states.
 """
 
 from __future__ import annotations
@@ -23,77 +23,79 @@
 from lilacfront.membership.sender import OutgoingDatagram
 from lilacfront.membership.view import MembershipView
 
-WALL_CLOCK_S = 1_800_000_000.0  # where the simulated clock is 0
+WALL_CLOCK_START_S = 1_800_000_000.0  # wall clock time at the start of the simulation
 OBSERVE_INTERVAL_S = 0.25
 MIN_TICK_INTERVAL_S = 0.005
-MAX_INBOX = 256  # datagrams that the buffer of a paused member's socket holds
+MAX_INBOX = 256  # capacity of the socket buffer of a paused member, in datagrams
 
 
 class SimulatedMember(Protocol):
-    """A failure detector: the program's, or one that it is compared with."""
+    """A member with a failure detector: the program's own or a baseline."""
 
     @property
     def sent_bytes(self) -> int:
-        """Of all datagrams so far, headers included."""
+        """Number of bytes of all sent datagrams, with IP and UDP headers."""
         ...
 
     def next_deadline(self) -> float:
-        """When `tick` next has something to do."""
+        """The time at which `tick` must be called next."""
         ...
 
     def tick(self, now: float) -> list[OutgoingDatagram]:
-        """Do what is due."""
+        """Run expired timers and return the datagrams to send."""
         ...
 
-    def receive(self, now: float, place: int, data: bytes) -> list[OutgoingDatagram]:
-        """Read a datagram of member `place`."""
+    def receive(self, now: float, sender: int, data: bytes) -> list[OutgoingDatagram]:
+        """Process a datagram of a member and return the datagrams to send."""
         ...
 
     def leave(self, now: float) -> list[OutgoingDatagram]:
-        """Say that this member leaves."""
+        """Return the datagrams that announce the leave of this member."""
         ...
 
     def failed_members(self) -> set[int]:
-        """The members that it holds dead, or that have left."""
+        """The members that are dead or have left, in this member's view."""
         ...
 
 
 class DetectorMember:
     """A member with the program's failure detector."""
 
-    def __init__(self, number: int, script: FaultScript, seed: int, now: float, clock: float) -> None:
-        """Start a member; `clock`: seconds by which its wall clock is off."""
+    def __init__(
+        self, number: int, script: FaultScript, seed: int, now: float, clock_offset_s: float
+    ) -> None:
+        """Start a member whose wall clock is off by `clock_offset_s`."""
         self.now = now
         self.view = MembershipView(script.members, number, now)
         self.detector = FailureDetector(
-            self.view, script.membership, seed, now, lambda: WALL_CLOCK_S + self.now + clock
+            self.view, script.membership, seed, now, lambda: WALL_CLOCK_START_S + self.now + clock_offset_s
         )
 
     @property
     def sent_bytes(self) -> int:
-        """Of all datagrams so far, headers included."""
+        """Number of bytes of all sent datagrams, with IP and UDP headers."""
         return self.detector.sent_bytes
 
     def next_deadline(self) -> float:
-        """When `tick` next has something to do."""
+        """The time at which `tick` must be called next."""
         return self.detector.next_deadline()
 
     def tick(self, now: float) -> list[OutgoingDatagram]:
-        """Do what is due."""
+        """Run expired timers and return the datagrams to send."""
         self.now = now
         return self.detector.tick(now)
 
-    def receive(self, now: float, place: int, data: bytes) -> list[OutgoingDatagram]:
-        """Read a datagram of member `place`."""
+    def receive(self, now: float, sender: int, data: bytes) -> list[OutgoingDatagram]:
+        """Process a datagram of a member and return the datagrams to send."""
         self.now = now
-        return self.detector.receive(now, place, data)
+        return self.detector.receive(now, sender, data)
 
     def leave(self, now: float) -> list[OutgoingDatagram]:
-        """Say that this member leaves."""
+        """Return the datagrams that announce the leave of this member."""
         return self.detector.leave(now)
 
     def failed_members(self) -> set[int]:
-        """The members that it holds dead, or that have left."""
+        """The members that are dead or have left, in this member's view."""
         if self.view.live_count == len(self.view):
             return set()
         return {member for member, state in enumerate(self.view.states) if state >= MemberState.DEAD}
@@ -104,52 +106,52 @@
 
 @dataclass(slots=True)
 class Host:
-    """The truth about one front end.
+    """The actual state of one front end.
 
     Attributes:
-        number: Its number as a member.
-        member: Its detector; None while it is dead or has left.
-        stopped: Whether it is paused.
-        inbox: Senders and datagrams that came while it was paused.
-        starts: How often it was started.
-        lie: How it lies; empty if it does not.
+        number: The member number.
+        member: The member with its detector; None while the front end is dead or has left.
+        paused: Whether the process is paused.
+        inbox: Senders and datagrams received during the pause.
+        starts: Number of starts.
+        lie: The false updates that it sends, see `FalseReport`; empty if it sends none.
     """
 
     number: int
     member: SimulatedMember | None = None
-    stopped: bool = False
+    paused: bool = False
     inbox: list[tuple[int, bytes]] = field(default_factory=list)
     starts: int = 0
     lie: str = ""
 
 
 class TierSimulation:
-    """Runs a script."""
+    """Runs a script with simulated members."""
 
-    def __init__(self, script: FaultScript, seed: int, make: MemberFactory | None = None) -> None:
-        """Prepare a run; `make` starts a member, without it one with the program's detector."""
+    def __init__(self, script: FaultScript, seed: int, make_member: MemberFactory | None = None) -> None:
+        """Prepare a run; `make_member` creates a member, by default one with the program's detector."""
         self.script = script
         self.seed = seed
         self.now = 0.0
         self.hosts = [Host(number) for number in range(script.members)]
         last_fault_at = max((fault.at_s for fault in script.fault_timeline()), default=0.0)
         self.score = Scorer(script.members, last_fault_at)
-        self._make: MemberFactory = DetectorMember if make is None else make
+        self._make_member: MemberFactory = DetectorMember if make_member is None else make_member
         self._random = random.Random(seed)
-        self._net = NetworkModel(script, self._random)
-        self._order = count()
+        self._network = NetworkModel(script, self._random)
+        self._sequence = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._ticks: dict[int, float] = {}  # when each member's next tick is
-        self._messages = 0
+        self._tick_times: dict[int, float] = {}  # time of the next tick, by member
+        self._message_count = 0
         self._sent_bytes: dict[int, int] = {}
 
     # ---- the run ------------------------------------------------------------------------------
     def schedule(self, when: float, call: Callable[[], None]) -> None:
-        """Call this at that time; of calls at the same time the first scheduled comes first."""
-        heapq.heappush(self._events, (when, next(self._order), call))
+        """Schedule a call; calls at the same time run in the order of scheduling."""
+        heapq.heappush(self._events, (when, next(self._sequence), call))
 
     def run(self) -> Outcome:
-        """Play the whole script."""
+        """Run the whole script and return its outcome."""
         for host in self.hosts:
             self._start(host, 0.0)
         for fault in self.script.fault_timeline():
@@ -160,35 +162,35 @@
             call()
         return self._finish()
 
-    def _start(self, host: Host, clock: float) -> None:
+    def _start(self, host: Host, clock_offset_s: float) -> None:
         host.starts += 1
-        host.stopped = False
+        host.paused = False
         seed = self.seed * 7919 + host.number * 31 + host.starts
-        host.member = self._make(host.number, self.script, seed, self.now, clock)
+        host.member = self._make_member(host.number, self.script, seed, self.now, clock_offset_s)
         host.inbox.clear()
         self.score.record_start(host.number, self.now)
         self._schedule_tick(host, self.now)
 
     def _schedule_tick(self, host: Host, when: float) -> None:
-        """Tick a member at this time; an earlier tick takes the place of a later one."""
-        if when < self._ticks.get(host.number, math.inf):
-            self._ticks[host.number] = when
+        """Schedule a tick of a member unless an earlier one is scheduled; it replaces a later one."""
+        if when < self._tick_times.get(host.number, math.inf):
+            self._tick_times[host.number] = when
             self.schedule(when, lambda: self._tick(host, when))
 
     def _tick(self, host: Host, when: float) -> None:
-        if self._ticks.get(host.number) != when:
+        if self._tick_times.get(host.number) != when:
             return
-        del self._ticks[host.number]
-        if host.member is None or host.stopped:
+        del self._tick_times[host.number]
+        if host.member is None or host.paused:
             return
         self._send(host, host.member.tick(self.now))
         self._schedule_tick(host, max(host.member.next_deadline(), self.now + MIN_TICK_INTERVAL_S))
 
     def _send(self, host: Host, datagrams: list[OutgoingDatagram]) -> None:
         for peer, data in datagrams:
-            self._messages += 1
-            payload = self._lie(host, data) if host.lie else data
-            for delay in self._net.delivery_delays(host.number, peer):
+            self._message_count += 1
+            payload = self._falsify(host, data) if host.lie else data
+            for delay in self._network.delivery_delays(host.number, peer):
                 self.schedule(
                     self.now + delay,
                     lambda peer=peer, payload=payload: self._deliver(peer, host.number, payload),  # type: ignore[misc]
@@ -198,35 +200,37 @@
         host = self.hosts[peer]
         if host.member is None:
             return
-        if host.stopped:
+        if host.paused:
             if len(host.inbox) < MAX_INBOX:
                 host.inbox.append((sender, data))
             return
         self._send(host, host.member.receive(self.now, sender, data))
         self._schedule_tick(host, max(host.member.next_deadline(), self.now + MIN_TICK_INTERVAL_S))
 
-    def _lie(self, host: Host, data: bytes) -> bytes:
+    def _falsify(self, host: Host, data: bytes) -> bytes:
         assert isinstance(host.member, DetectorMember)
-        held = host.member.detector.view.incarnations.__getitem__
+        known_incarnation = host.member.detector.view.incarnations.__getitem__
         dead = {other.number for other in self.hosts if other.member is None}
-        return falsify_datagram(data, host.lie, host.number, dead, held, self._random, len(self.hosts))
+        return falsify_datagram(
+            data, host.lie, host.number, dead, known_incarnation, self._random, len(self.hosts)
+        )
 
     # ---- faults -------------------------------------------------------------------------------
     def _affected(self, fault: Fault) -> list[Host]:
         if fault.target_fraction:
-            drawn = self._net.sample_members(
+            numbers = self._network.sample_members(
                 [host.number for host in self._unpaused()], fault.target_fraction
             )
-            return [self.hosts[number] for number in drawn]
+            return [self.hosts[number] for number in numbers]
         return [self.hosts[number] for number in fault.targets]
 
     def _apply(self, fault: Fault) -> None:
         hosts = self._affected(fault)
         match fault.action:
             case "cut":
-                self._net.partition(fault, [host.number for host in hosts])
+                self._network.partition(fault, [host.number for host in hosts])
             case "heal":
-                self._net.blocked_links.clear()
+                self._network.blocked_links.clear()
                 self.score.record_heal(self.now)
         for host in hosts:
             self._apply_to(host, fault)
@@ -241,20 +245,20 @@
             case "start" if host.member is None:
                 self._start(host, fault.clock_offset_s)
             case "stop":
-                host.stopped = True
-            case "continue" if host.stopped:
+                host.paused = True
+            case "continue" if host.paused:
                 self._resume(host)
             case "lie":
                 host.lie = fault.lie
 
     def _resume(self, host: Host) -> None:
-        host.stopped = False
+        host.paused = False
         self.score.record_start(host.number, self.now)
-        self._ticks.pop(host.number, None)
+        self._tick_times.pop(host.number, None)
         self._schedule_tick(host, self.now)
-        waiting = host.inbox
+        received = host.inbox
         host.inbox = []
-        for sender, data in waiting:
+        for sender, data in received:
             self._deliver(host.number, sender, data)
 
     def _end(self, host: Host) -> None:
@@ -269,10 +273,10 @@
 
     # ---- the score ----------------------------------------------------------------------------
     def _unpaused(self) -> list[Host]:
-        return [host for host in self.hosts if host.member is not None and not host.stopped]
+        return [host for host in self.hosts if host.member is not None and not host.paused]
 
     def _running(self) -> list[Host]:
-        """The hosts whose views count."""
+        """The hosts whose views are scored."""
         return [host for host in self._unpaused() if not host.lie]
 
     def _observe(self) -> None:
@@ -281,9 +285,9 @@
         for host in self._running():
             assert host.member is not None
             views[host.number] = host.member.failed_members()
-        stopped = {host.number for host in self.hosts if host.stopped}
-        live = sum(host.member is not None for host in self.hosts)
-        self.score.observe(self.now, views, stopped, self._net.is_partitioned, live)
+        paused = {host.number for host in self.hosts if host.paused}
+        live_count = sum(host.member is not None for host in self.hosts)
+        self.score.observe(self.now, views, paused, self._network.is_partitioned, live_count)
 
     def _finish(self) -> Outcome:
         running = {host.number for host in self._running()}
@@ -291,5 +295,5 @@
             self._count_sent_bytes(host)
         rates = {member: sent / self.script.duration_s for member, sent in self._sent_bytes.items()}
         outcome = self.score.finish(self.now, running, rates)
-        outcome.messages = self._messages
+        outcome.messages = self._message_count
         return outcome
--- a/lilacfront/lab/members_cli.py
+++ b/lilacfront/lab/members_cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront lab members`: detectors on scripts of faults, over many seeds, as a table."""
+"""`lilacfront lab members`: compares failure detectors on fault scripts over many seeds, in a table."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 from lilacfront.lab.score import Outcome
 
 HEADER = (
-    "| | a death known after: median, 99th, last, s | never known | living held dead: "
-    "times, longest, beyond its pause or cut, s | all agree after the last fault: median, last, s | "
-    "bytes a second, mean of members |\n"
+    "| | detection time: median, 99th percentile, max, s | undetected | false positives: count, longest, "
+    "longest after its pause or cut, s | agreement after the last fault: median, max, s | "
+    "bytes/s, mean of members |\n"
     "| --- | --- | --- | --- | --- | --- |"
 )
 FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
 
 
-def _play(job: tuple[bytes, str, int]) -> Outcome:
-    """Play a script with a detector and a seed; in a process of the pool."""
+def _run(job: tuple[bytes, str, int]) -> Outcome:
+    """Run a script with a detector and a seed. This is the job of a process in the pool."""
     text, name, seed = job
     return TierSimulation(parse_script(text), seed, DETECTORS[name]).run()
 
 
 def _spread(values: list[float]) -> str:
-    """The median, and between which values nine in ten lie."""
+    """The median and the range of the middle 90% of the values."""
     if not values:
         return "-"
     values = sorted(values)
-    cut = len(values) // 20
-    return f"{median(values):.2f} ({values[cut]:.2f} to {values[-1 - cut]:.2f})"
+    trimmed = len(values) // 20
+    return f"{median(values):.2f} ({values[trimmed]:.2f} to {values[-1 - trimmed]:.2f})"
 
 
 def row(name: str, outcomes: list[Outcome]) -> str:
-    """The row of the table for a detector, over all its runs."""
+    """The table row of a detector, over all its runs."""
     undetected = sum(outcome.undetected for outcome in outcomes)
     rate = _spread([outcome.mean_bytes_per_s for outcome in outcomes])
     cells = (
@@ -78,20 +78,24 @@
 @click.argument("scripts", nargs=-1, required=True, type=FILE)
 @click.option("--seeds", type=click.IntRange(1, 1000), default=20, show_default=True)
 @click.option(
-    "--detector", "names", multiple=True, type=click.Choice(list(DETECTORS)), help="All without it."
+    "--detector",
+    "names",
+    multiple=True,
+    type=click.Choice(list(DETECTORS)),
+    help="Detector to run; may be repeated. Default: all.",
 )
 @click.option("--processes", type=click.IntRange(1, 64), default=4, show_default=True)
 def command(scripts: tuple[Path, ...], seeds: int, names: tuple[str, ...], processes: int) -> None:
-    """Find out who lives, on one clock: each script with each detector and seed; a table in Markdown."""
+    """Simulate failure detection with each script, detector and seed and print Markdown tables."""
     with multiprocessing.get_context("spawn").Pool(processes) as pool:
         for path in scripts:
             text = path.read_bytes()
             try:
                 script = parse_script(text)
-            except ScriptError as problem:
-                raise click.ClickException(f"{path}: {problem}") from problem
+            except ScriptError as error:
+                raise click.ClickException(f"{path}: {error}") from error
             click.echo(f"\n{path.stem}: {script.members} members, {script.duration_s:g} s, {seeds} seeds\n")
             click.echo(HEADER)
             for name in names or tuple(DETECTORS):
                 jobs = [(text, name, seed) for seed in range(1, seeds + 1)]
-                click.echo(row(name, pool.map(_play, jobs)))
+                click.echo(row(name, pool.map(_run, jobs)))
--- a/lilacfront/lab/network_model.py
+++ b/lilacfront/lab/network_model.py
@@ -1,4 +1,4 @@
-"""A faulty network between members: packet loss, delay, duplicates, partitions, and false updates."""
+"""Model of a faulty network between members: packet loss, delay, duplicates, partitions and false updates."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from lilacfront.membership.codec import CodecError, decode, encode
 from lilacfront.membership.messages import Ack, MemberState, MemberUpdate, Ping, PingRequest
 
-MAX_FALSE_UPDATES = 26  # in one datagram of a lying member
+MAX_FALSE_UPDATES = 26  # per datagram of a lying member
 MAX_FALSE_INCARNATION_STEP = 3
 
 
 class NetworkModel:
-    """Decides what becomes of each datagram between two members.
+    """Draws the loss, duplication and delay of each datagram between two members.
 
     Attributes:
-        script: The fractions and delays.
-        rng: The generator of all draws of this network.
-        blocked_links: Senders and receivers between which nothing is delivered.
+        script: The script with the fractions and delays.
+        rng: The random number generator of this network.
+        blocked_links: Pairs of a sender and a receiver between which nothing is delivered.
     """
 
     def __init__(self, script: FaultScript, rng: random.Random) -> None:
@@ -29,7 +29,10 @@
         self.blocked_links: set[tuple[int, int]] = set()
 
     def delivery_delays(self, sender: int, receiver: int) -> list[float]:
-        """Seconds until each delivery of a datagram: none if it is lost, two if it is duplicated."""
+        """The delay in seconds of each delivery of a datagram.
+
+        The list is empty if the datagram is lost and has two entries if it is duplicated.
+        """
         copies = 2 if self.rng.random() < self.script.duplicate_fraction else 1
         delays = []
         for _ in range(copies):
@@ -44,7 +47,7 @@
         return self.rng.uniform(*self.script.delay_range_s)
 
     def partition(self, fault: Fault, targets: Iterable[int]) -> None:
-        """Block the links of a `cut` from its targets, and those back where it is bidirectional."""
+        """Block the links from the targets of a `cut`, and the links back to them if it is bidirectional."""
         senders = list(targets)
         others = [member for member in range(self.script.members) if member not in senders]
         for sender in senders:
@@ -54,7 +57,7 @@
                     self.blocked_links.add((receiver, sender))
 
     def sample_members(self, running: list[int], fraction: float) -> list[int]:
-        """Draw this fraction of the running members."""
+        """Draw a random sample of this fraction of the running members."""
         return self.rng.sample(running, round(fraction * len(running)))
 
     def is_partitioned(self, first: int, second: int) -> bool:
@@ -71,15 +74,15 @@
     rng: random.Random,
     members: int,
 ) -> bytes:
-    """What a lying member sends in place of a datagram: its probes and acks, with false updates.
+    """Replace the updates in a datagram of a lying member by false ones; probes and acks remain.
 
     Args:
-        data: The datagram; returned as it is where it can't be decoded.
+        data: The datagram; returned unchanged if it can't be decoded.
         lie: One of `FalseReport`.
         sender: The lying member.
-        dead: The members that are really dead.
-        known_incarnation: The incarnation in which the sender knows a member.
-        rng: Draws the updates.
+        dead: The members that are actually dead.
+        known_incarnation: Returns the incarnation of a member in the sender's view.
+        rng: The random number generator for the updates.
         members: Number of members.
     """
     updates = []
--- a/lilacfront/lab/recovery_exploration.py
+++ b/lilacfront/lab/recovery_exploration.py
@@ -84,7 +84,8 @@
         log_seq: Sequence number of the last event of the change log.
         log_ready: Whether that event reports the warehouse as ready; otherwise as draining.
         load_running: Whether the load is being executed.
-        loads_sent, directives: Number of loads that were sent, and of directives that were issued.
+        loads_sent: Number of loads that were sent.
+        directives: Number of directives that were issued.
     """
 
     a: FrontEnd
@@ -107,7 +108,7 @@
 
 @dataclass
 class Exploration:
-    """The result; `violations` has the names of the steps to the first violation of each property."""
+    """The result of an exploration; `violations` has the steps to the first violation of each property."""
 
     states: int = 0
     steps: int = 0
--- a/lilacfront/lab/slowdisk.py
+++ b/lilacfront/lab/slowdisk.py
@@ -1,6 +1,6 @@
-"""The program with a disk that stalls: `python -m lilacfront.lab.slowdisk SECONDS serve ...`.
+"""Runs the program with a simulated slow disk: `python -m lilacfront.lab.slowdisk SECONDS serve ...`.
 
-Every restore of the recovery store and every sync waits so long first, as on a disk busy with other work.
+Every restore and every sync of the recovery store is delayed by that time, as on a disk busy with other work.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from lilacfront.recovery.store import Store
 
 
-def stall(seconds: float) -> None:
+def delay_disk(seconds: float) -> None:
     """Delay every restore and every sync of the recovery store in this process."""
     sync, restore = Store._sync, Store.restore
 
@@ -29,5 +29,5 @@
 
 
 if __name__ == "__main__":
-    stall(float(sys.argv.pop(1)))
+    delay_disk(float(sys.argv.pop(1)))
     main()
--- a/lilacfront/lab/store_costs.py
+++ b/lilacfront/lab/store_costs.py
@@ -1,8 +1,8 @@
-"""What the recovery store costs: its own journal beside SQLite in WAL mode, at a rate of changes.
+"""Benchmark of the recovery store: its journal compared with SQLite in WAL mode, at a given rate of changes.
 
-Both get the same changes in batches of the same window, written by a thread as in service, while a loop of
-this process takes turns. Measured are the processor time of the process, the longest turn, and the bytes
-written.
+Both backends get the same changes. A thread writes them in one batch per window, as in the program, while the
+main thread runs a loop. The benchmark measures the processor time of the process, the duration of the loop's
+turns, and the bytes written.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 from lilacfront.recovery.records import EndpointEntry, EndpointListRecord
 from lilacfront.recovery.store import Store
 
-TURN_S: Final = 0.005  # pause of the loop between two turns
+PAUSE_S: Final = 0.005  # pause between two turns of the loop
 WRITE_WINDOW_S: Final = 0.1
 MAX_JOURNAL_BYTES: Final = 8 << 20
 RESTORE_TIMEOUT_S: Final = 10.0
-SETTLE_S: Final = 0.3  # before the measurement
-BLOCK_BYTES: Final = 512  # of the system's count of written blocks
+SETTLE_S: Final = 0.3  # time for the initial writes before the measurement
+BLOCK_BYTES: Final = 512  # unit of `ru_oublock`
 
 
 class Backend(Protocol):
-    """A way to store changes; no method but `close` waits for the disk."""
+    """A storage backend; only `close` may wait for the disk."""
 
     def append(self, record: EndpointListRecord) -> None:
         """Store a change."""
         ...
 
     def take_turn(self) -> None:
-        """Do what is due on the loop."""
+        """Do the work of one turn of the loop."""
         ...
 
     def close(self) -> None:
-        """Write everything and end."""
+        """Write all queued changes and stop."""
         ...
 
 
@@ -61,7 +61,7 @@
         self._writer.append(record)
 
     def take_turn(self) -> None:
-        """Hand over a checkpoint where one is needed."""
+        """Pass a checkpoint to the writer if it needs one."""
         if self._writer.needs_checkpoint:
             self._writer.write_checkpoint(list(self._state.checkpoint()))
 
@@ -71,7 +71,7 @@
 
 
 class SqliteBackend:
-    """A row for each warehouse; one transaction a window."""
+    """SQLite in WAL mode, with a row for each warehouse and one transaction per window."""
 
     def __init__(self, directory: Path, state: DurableState) -> None:
         self._state = state
@@ -91,7 +91,7 @@
             self._queue += [(entry.instance_id, msgspec.msgpack.encode(entry)) for entry in record.entries]
 
     def take_turn(self) -> None:
-        """Nothing is due on the loop."""
+        """Do nothing; there is no work on the loop."""
 
     def close(self) -> None:
         """Write the queue and end the thread."""
@@ -99,22 +99,22 @@
         self._thread.join()
 
     def _run(self) -> None:
-        database = sqlite3.connect(self._directory / "held.sqlite")
+        database = sqlite3.connect(self._directory / "endpoints.sqlite")
         database.execute("pragma journal_mode=wal")
         database.execute("pragma synchronous=full")
-        database.execute("create table listed (id text primary key, entry blob)")
+        database.execute("create table endpoints (id text primary key, entry blob)")
         while not self._closing.wait(WRITE_WINDOW_S) or self._queue:
             with self._lock:
                 rows = self._queue
                 self._queue = []
             if rows:
                 with database:
-                    database.executemany("insert or replace into listed values (?, ?)", rows)
+                    database.executemany("insert or replace into endpoints values (?, ?)", rows)
         database.close()
 
 
 class MemoryBackend:
-    """The loop and the state alone: the baseline of the others."""
+    """Baseline without storage: applies changes to the state in memory."""
 
     def __init__(self, directory: Path, state: DurableState) -> None:
         del directory
@@ -125,28 +125,28 @@
         self._state.apply(record)
 
     def take_turn(self) -> None:
-        """Nothing is due on the loop."""
+        """Do nothing; there is no work on the loop."""
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing; there are no resources to release."""
 
 
 BACKENDS: Final[dict[str, Callable[[Path, DurableState], Backend]]] = {
-    "nothing": MemoryBackend,
-    "own records": JournalBackend,
+    "memory only": MemoryBackend,
+    "journal": JournalBackend,
     "SQLite, WAL": SqliteBackend,
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What one measurement showed.
+    """The result of one measurement.
 
     Attributes:
-        cpu: Processor time, in processors.
-        longest_ms: The longest turn of the loop, without its pause.
-        p999_ms: The 99.9th percentile of the turns.
-        written_bytes: Bytes written by the process, by the system's count.
+        cpu: Processor time per second of the measurement.
+        longest_ms: Duration of the longest turn of the loop, without the pause.
+        p999_ms: 99.9th percentile of the durations of the turns.
+        written_bytes: Bytes written by the process, from `ru_oublock`.
         size_bytes: Size of the files at the end.
     """
 
@@ -164,20 +164,20 @@
 
 
 def _run_loop(backend: Backend, warehouses: int, changes_per_s: int, seconds: float) -> list[float]:
-    """Take turns for a while; returns how long each took."""
-    turns: list[float] = []
+    """Run the loop for a time; returns the duration of each turn, in seconds."""
+    durations: list[float] = []
     changes = 0
-    began_at = time.monotonic()
-    while (elapsed := time.monotonic() - began_at) < seconds:
-        turn_began_at = time.perf_counter()
+    started_at = time.monotonic()
+    while (elapsed := time.monotonic() - started_at) < seconds:
+        turn_started_at = time.perf_counter()
         while changes < elapsed * changes_per_s:
             changes += 1
             entry = _entry(changes % warehouses, changes // warehouses)
             backend.append(EndpointListRecord(1 + changes, False, (entry,)))
         backend.take_turn()
-        turns.append(time.perf_counter() - turn_began_at)
-        time.sleep(TURN_S)
-    return turns
+        durations.append(time.perf_counter() - turn_started_at)
+        time.sleep(PAUSE_S)
+    return durations
 
 
 def measure(backend_name: str, directory: Path, warehouses: int, changes_per_s: int, seconds: float) -> Cost:
@@ -186,17 +186,17 @@
     state.apply(EndpointListRecord(1, True, tuple(_entry(number, 0) for number in range(warehouses))))
     backend = BACKENDS[backend_name](directory, state)
     time.sleep(SETTLE_S)
-    began_at = time.monotonic()
+    started_at = time.monotonic()
     before = resource.getrusage(resource.RUSAGE_SELF)
-    turns = sorted(_run_loop(backend, warehouses, changes_per_s, seconds))
-    elapsed = time.monotonic() - began_at
+    durations = sorted(_run_loop(backend, warehouses, changes_per_s, seconds))
+    elapsed = time.monotonic() - started_at
     after = resource.getrusage(resource.RUSAGE_SELF)
     backend.close()
     cpu_s = after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
     return Cost(
         cpu=cpu_s / elapsed,
-        longest_ms=1e3 * turns[-1],
-        p999_ms=1e3 * turns[int(0.999 * len(turns))],
+        longest_ms=1e3 * durations[-1],
+        p999_ms=1e3 * durations[int(0.999 * len(durations))],
         written_bytes=(after.ru_oublock - before.ru_oublock) * BLOCK_BYTES,
         size_bytes=sum(path.stat().st_size for path in directory.iterdir()),
     )
--- a/lilacfront/lab/virtual_clock.py
+++ b/lilacfront/lab/virtual_clock.py
@@ -1,7 +1,7 @@
-"""A virtual clock: time advances only when nothing is left to do, so minutes are simulated in seconds.
+"""A virtual clock that advances only while the event loop is idle, so minutes are simulated in seconds.
 
-It serves tasks that share one event loop, with sockets between them. While something is in flight between
-them, the system gets the real time that it needs to deliver it.
+It is for tasks that share one event loop and communicate over sockets. While data is in flight between them,
+the virtual time stands still and the loop waits in real time for the operating system to deliver the data.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from lilacfront.sched import Loop
 
-SETTLE_TIMEOUT_S = 20.0  # of real time, for what is in flight on loopback; only a fault takes it
+SETTLE_TIMEOUT_S = 20.0  # real time limit for data in flight on loopback; only a defect exceeds it
 POLL_INTERVAL_S = 0.001
 
 
 class VirtualClock:
-    """Seconds that `run_virtual_time` alone advances."""
+    """A clock in seconds that only `run_virtual_time` advances."""
 
     def __init__(self, start: float = 1_000_000.0) -> None:
         self.now = start
@@ -29,30 +29,30 @@
 def run_virtual_time(
     loop: Loop, clock: VirtualClock, done: Callable[[], bool], settled: Callable[[], bool]
 ) -> None:
-    """Run a loop until `done`.
+    """Run a loop on virtual time until `done` returns True.
 
     Args:
         loop: The event loop, made with `clock`.
-        clock: Is advanced to the next timer once the loop is idle and `settled`.
-        done: Whether the run is complete.
-        settled: Whether nothing is in flight between the tasks.
+        clock: Clock that is advanced to the next timer once the loop is idle and `settled` returns True.
+        done: Returns whether the run is complete.
+        settled: Returns whether no data is in flight between the tasks.
 
     Raises:
-        TimeoutError: What is in flight does not arrive.
-        RuntimeError: No timer is left that could complete the run.
+        TimeoutError: Data in flight was not delivered within `SETTLE_TIMEOUT_S`.
+        RuntimeError: The run is not complete and no timer is pending.
     """
-    give_up_at = time.monotonic() + SETTLE_TIMEOUT_S
+    timeout_at = time.monotonic() + SETTLE_TIMEOUT_S
     while not done():
         loop.turn(0)
         if loop.ready or loop.dirty:
             continue
         if not settled():
-            if time.monotonic() > give_up_at:
-                raise TimeoutError("what is in flight does not arrive")
+            if time.monotonic() > timeout_at:
+                raise TimeoutError(f"data in flight was not delivered within {SETTLE_TIMEOUT_S:g} s")
             loop.turn(POLL_INTERVAL_S)
             continue
-        give_up_at = time.monotonic() + SETTLE_TIMEOUT_S
+        timeout_at = time.monotonic() + SETTLE_TIMEOUT_S
         if (due := loop.due()) is not None:
             clock.now = max(clock.now, due)
         elif not done():
-            raise RuntimeError("no timer is left that could complete the run")
+            raise RuntimeError("the run is not complete and no timer is pending")
--- a/tests/lab/test_log_summary.py
+++ b/tests/lab/test_log_summary.py
@@ -1,4 +1,4 @@
-"""`lilacfront lab count`: the debug logs of a fleet, counted."""
+"""`lilacfront lab count`: counts of answers and attempts in the debug logs of a fleet."""
 
 from __future__ import annotations
 
