--- a/lilacfront/discovery/change_log.py
+++ b/lilacfront/discovery/change_log.py
@@ -94,7 +94,7 @@
         self._random = random.Random(seed)
         self._task: Task | None = None
         self._behind_since = math.inf
-        loop.at(loop.now + UNREACHABLE_TIMEOUT_S, self._expire_catch_up)
+        loop.call_at(loop.now + UNREACHABLE_TIMEOUT_S, self._expire_catch_up)
 
     def set_address(self, address: tuple[str, int]) -> None:
         """Follow the log at another address, starting after the last event that was processed."""
@@ -109,7 +109,7 @@
         self._task = task
         while True:
             if task.interrupted:
-                task.settle()
+                task.clear_interruption()
             self._connect_and_follow(task)
             if not task.interrupted:
                 delay_s = RECONNECT_DELAY_S * self._random.uniform(0.5, 1.0)
--- a/lilacfront/frontends/clickhouse_connection.py
+++ b/lilacfront/frontends/clickhouse_connection.py
@@ -71,7 +71,7 @@
             self._stream.write(encode_error(error.status, ErrorCode.BAD_ARGUMENTS, text, keep_alive=False))
         finally:
             self._reader.release_body()
-            self._stream.end(FINISH_TIMEOUT_S)
+            self._stream.close_gracefully(FINISH_TIMEOUT_S)
 
     def _serve(self, task: Task, http_request: HttpRequest, keep_alive: bool) -> None:
         method = http_request.head.method
@@ -79,7 +79,7 @@
             self._answer_ping(method, keep_alive)
             return
         try:
-            request = parse_request(http_request, self._services, self._stream.present)
+            request = parse_request(http_request, self._services, self._stream.is_open_by_poll)
         except InvalidQueryError as error:
             self._stream.write(encode_error(error.status, error.code, error.text, keep_alive, method))
             # The delay keeps a client that repeats invalid requests without a pause from starving others.
@@ -114,10 +114,10 @@
             elif not self._reader.has_pipeline_capacity:
                 # With unread bytes in the socket, a read can't show a disconnect; polling for it can.
                 self._loop.wait(task, self._loop.now + CONNECTED_CHECK_INTERVAL_S)
-                if not self._stream.present():
+                if not self._stream.is_open_by_poll():
                     self._cancel(in_flight)
             if task.interrupted:
-                task.settle()
+                task.clear_interruption()
 
     def _cancel(self, in_flight: InFlightRequest) -> None:
         """Cancel the request of a client that has disconnected."""
@@ -150,7 +150,7 @@
                 self._stream.close()
             case _ if result.has_started:
                 # The missing last chunk tells the client that the result is incomplete.
-                self._stream.end()
+                self._stream.close_gracefully()
             case Rejected():
                 self._stream.write(encode_rejection(answer, result.keep_alive))
             case Failed():
--- a/lilacfront/frontends/listener.py
+++ b/lilacfront/frontends/listener.py
@@ -72,7 +72,7 @@
         self.has_partial_message = False
         listener.slots[self] = None
         stream.on_close = self._on_close
-        stream.on_end = self._on_end
+        stream.on_graceful_close = self._on_end
         self.mark_idle(had_request=False)
 
     def mark_idle(self, had_request: bool) -> None:
@@ -90,7 +90,7 @@
         listener.update_watch()
         if listener.drain is not None:
             # Runs in the next turn of the loop, since the last answer is sent at the end of this turn.
-            self.stream.loop.at(self.stream.loop.now, self.apply_drain)
+            self.stream.loop.call_at(self.stream.loop.now, self.apply_drain)
 
     def mark_busy(self) -> None:
         """Record that a complete request, or for HTTP the head of a request, has been received."""
@@ -127,14 +127,14 @@
         match drain.decide(self.stream.loop.now, status):
             # A slow client gets its last answer in full before the connection is closed.
             case DrainAction.CLOSE if self.has_no_pending_bytes:
-                self.stream.end()
+                self.stream.close_gracefully()
             case DrainAction.FAIL_PENDING:
                 self.fail_pending()
 
     @property
     def has_no_pending_bytes(self) -> bool:
         """Whether no bytes wait to be sent and no received bytes are unread."""
-        return not self.stream.queued and self.stream.quiet()
+        return not self.stream.queued_bytes and self.stream.is_idle()
 
     def _on_end(self) -> None:
         """Handle the start of an orderly close; the slot is freed once the client has closed, too."""
@@ -295,7 +295,7 @@
         """
         self._evict_idle()
         self._is_accept_paused = True
-        self.loop.at(self.loop.now + ACCEPT_RETRY_S, self._resume_accepting)
+        self.loop.call_at(self.loop.now + ACCEPT_RETRY_S, self._resume_accepting)
 
     def _resume_accepting(self) -> None:
         self._is_accept_paused = False
@@ -306,7 +306,7 @@
         """Close one idle connection without pending bytes; return False if there is none."""
         for slot in self._eviction_order():
             if slot.has_no_pending_bytes:
-                slot.stream.end()
+                slot.stream.close_gracefully()
                 return True
         return False
 
--- a/lilacfront/lab/recovery_simulation.py
+++ b/lilacfront/lab/recovery_simulation.py
@@ -62,10 +62,10 @@
 
 
 class ClientBehavior(Enum):
-    """How a client reacts to a rejection."""
+    """Whether a rejected client obeys Retry-After, ignores it and retries soon, or gives up."""
 
-    OBEYS_RETRY_AFTER = "obeys"
-    IGNORES_RETRY_AFTER = "hammers"
+    OBEYS = "obeys"
+    IGNORES = "hammers"
     GIVES_UP = "gives up"
 
 
@@ -260,12 +260,8 @@
     def _choose_behavior(self, random_value: float) -> ClientBehavior:
         obedient = self.loss.obedient_fraction
         if random_value < obedient:
-            return ClientBehavior.OBEYS_RETRY_AFTER
-        return (
-            ClientBehavior.IGNORES_RETRY_AFTER
-            if random_value < (1 + obedient) / 2
-            else ClientBehavior.GIVES_UP
-        )
+            return ClientBehavior.OBEYS
+        return ClientBehavior.IGNORES if random_value < (1 + obedient) / 2 else ClientBehavior.GIVES_UP
 
     def _send_request(self, request: SimulatedRequest) -> None:
         """Send a client's request to a random running front end; retry later if none is running."""
@@ -293,7 +289,7 @@
 
     def _retry(self, request: SimulatedRequest, wait_s: float, rejected: bool) -> None:
         now = self._events.now
-        if request.behavior is ClientBehavior.IGNORES_RETRY_AFTER or wait_s <= 0:
+        if request.behavior is ClientBehavior.IGNORES or wait_s <= 0:
             wait_s = RETRY_INTERVAL_S * self._random.uniform(0.5, 1.5)
         gives_up = rejected and request.behavior is ClientBehavior.GIVES_UP
         if gives_up or now + wait_s > request.created_at + CLIENT_TIMEOUT_S:
--- a/lilacfront/lab/virtual_clock.py
+++ b/lilacfront/lab/virtual_clock.py
@@ -44,7 +44,7 @@
     timeout_at = time.monotonic() + SETTLE_TIMEOUT_S
     while not done():
         loop.turn(0)
-        if loop.ready or loop.dirty:
+        if loop.ready or loop.pending_flushes:
             continue
         if not settled():
             if time.monotonic() > timeout_at:
@@ -52,7 +52,7 @@
             loop.turn(POLL_INTERVAL_S)
             continue
         timeout_at = time.monotonic() + SETTLE_TIMEOUT_S
-        if (due := loop.due()) is not None:
-            clock.now = max(clock.now, due)
+        if (next_timer_at := loop.next_timer_at()) is not None:
+            clock.now = max(clock.now, next_timer_at)
         elif not done():
             raise RuntimeError("the run is not complete and no timer is pending")
--- a/lilacfront/upstream/clickhouse.py
+++ b/lilacfront/upstream/clickhouse.py
@@ -16,7 +16,7 @@
     ResponseSink,
 )
 from lilacfront.protocols import http1
-from lilacfront.sched import Loop, Stream, Task, Unconnected
+from lilacfront.sched import ConnectFailure, Loop, Stream, Task
 from lilacfront.upstream.clickhouse_attempt import ClickHouseAttempt
 
 # Idle connections are closed at this fraction of the engine's idle timeout, so that no request is sent at the
@@ -108,7 +108,7 @@
             return connected
         if task.interrupted:
             return AttemptEnding.CANCELLED
-        if connected is Unconnected.NO_DESCRIPTOR or connect_deadline >= assignment.deadline:
+        if connected is ConnectFailure.NO_DESCRIPTOR or connect_deadline >= assignment.deadline:
             return AttemptEnding.NOT_SENT
         return AttemptEnding.CONNECT_FAILED
 
@@ -120,7 +120,7 @@
             stream = connections.pop().stream
             # On a connection that the engine has closed, a write would succeed, and the request would have to
             # be treated as one that may have run.
-            if stream.quiet():
+            if stream.is_idle():
                 return stream
             stream.close()
         return None
--- a/tests/frontends/test_platform.py
+++ b/tests/frontends/test_platform.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from play import Stage, ThriftResp
+from play import Harness, ThriftResp
 
 LARGE_FRAME_HEAD = b"\0\1\xff\xff"  # length prefix of a frame of 131,071 bytes
 
 
 def test_incomplete_messages_beyond_the_memory_limit_close_the_largest_connection() -> None:
-    stage = Stage(ThriftResp(), limits={"memory_mb": 2})
+    stage = Harness(ThriftResp(), limits={"memory_mb": 2})
     try:
         for name, size in (("C1", 70_000), ("C2", 50_000), ("C3", 40_000)):
             stage.step(name, "!nothing", "")
--- a/tests/operations/test_service.py
+++ b/tests/operations/test_service.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 import pytest
-from play import Stage as ServerRig
+from play import Harness as ServerRig
 from play import ThriftResp
 
 from lilacfront.decisions.events import EndpointList
@@ -129,7 +129,7 @@
             return (
                 listener.max_connections,
                 server.upstream.max_connections,
-                server.loop.queued_most,
+                server.loop.max_queued_bytes,
                 server.platform_frontend.partial_messages.max_bytes,
             )
 
