--- a/lilacfront/lab/__init__.py
+++ b/lilacfront/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-ins with known behaviour, and clocks of their own. Not on the serving path."""
+"""Stand-in servers, fault injection and simulations for tests and experiments; not on the serving path."""
--- a/lilacfront/lab/cli.py
+++ b/lilacfront/lab/cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront lab`: stand-in servers, experiments and summaries of logs."""
+"""`lilacfront lab`: stand-in servers, experiments and log summaries."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @click.group("lab")
 def group() -> None:
-    """Stand-ins with known behaviour, experiments, and a fleet's logs counted."""
+    """Stand-in servers, experiments and log summaries."""
 
 
 group.add_command(count)
@@ -52,16 +52,16 @@
     "--behaviour",
     "behaviour_path",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="TOML; without it every request is served at once (docs/load.md).",
+    help="TOML file with the server's behaviour (docs/load.md); by default it serves each request at once.",
 )
 @click.option(
     "--truth",
     "record_path",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Where to write what it did.",
+    help="File for a record of each request.",
 )
 def standin(listen: str, behaviour_path: Path | None, record_path: Path | None) -> None:
-    """Serve as a target of known behaviour until interrupted."""
+    """Run a stand-in server with scripted behaviour as a load target until interrupted."""
     address = _parse_address(listen)
     try:
         behaviour = parse_behaviour(behaviour_path.read_bytes() if behaviour_path is not None else b"")
--- a/lilacfront/lab/engines.py
+++ b/lilacfront/lab/engines.py
@@ -1,8 +1,9 @@
-"""A model of a query server for simulations: cores shared by all executions, slow and cold spells.
+"""A processor-sharing model of a query server for simulations, with a variable speed.
 
-An execution of `threads` threads needs threads * seconds of work. It runs at its full rate while the threads
-of all executions are no more than the cores, and at an equal fraction of that beyond. `speed` scales
-everything: 1 is healthy, 0.25 is what a cold engine or a noisy neighbour leaves.
+An execution with `threads` threads that takes `seconds` on an idle engine needs threads * seconds of work. It
+runs at its full rate while the threads of all executions do not exceed the cores; beyond that, all threads
+slow down equally. `speed` scales all rates: 1 is a healthy engine, 0.25 a cold engine or one with a noisy
+neighbour.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
     Attributes:
         threads: Threads that it uses.
-        remaining_thread_s: Work that is left, in thread-seconds.
+        remaining_thread_s: Remaining work, in thread-seconds.
     """
 
     threads: int
@@ -28,15 +29,15 @@
 
 @dataclass(slots=True)
 class EngineModel:
-    """A simulated engine; call `advance` before anything is changed.
+    """A simulated engine; call `advance` before changing its state.
 
     Attributes:
         cores: Cores that the executions share.
         speed: Factor on the speed of all executions.
         running: Whether the engine is reachable.
-        updated_at: Seconds on the caller's clock, up to which the work is computed.
+        updated_at: Time of the last `advance`, in seconds on the caller's clock.
         completed_thread_s: Work done so far, in thread-seconds.
-        executions: The queries in execution, by number.
+        executions: The running queries, by number.
     """
 
     cores: float
@@ -52,12 +53,12 @@
         return sum(execution.threads for execution in self.executions.values())
 
     def _rate(self) -> float:
-        """Thread-seconds a second of each thread."""
+        """The work done by each thread, in thread-seconds per second."""
         threads = self.threads
         return self.speed * min(1.0, self.cores / threads) if threads else 0.0
 
     def advance(self, now: float) -> None:
-        """Do the work of the time up to `now`."""
+        """Apply the work done since the last call, up to `now`."""
         work_per_thread = self._rate() * (now - self.updated_at)
         self.updated_at = now
         for execution in self.executions.values():
@@ -69,7 +70,7 @@
         self.executions[number] = Execution(threads, threads * seconds)
 
     def remove_completed(self) -> list[int]:
-        """Remove the executions that are complete, and return their numbers."""
+        """Remove completed executions and return their numbers."""
         completed = [
             number
             for number, execution in self.executions.items()
@@ -80,7 +81,7 @@
         return completed
 
     def next_completion_at(self) -> float:
-        """When the next execution completes if nothing changes; infinity if none is going on."""
+        """When the next execution completes if nothing changes; infinity if none is running."""
         rate = self._rate()
         if not rate:
             return math.inf
--- a/lilacfront/lab/fake_services.py
+++ b/lilacfront/lab/fake_services.py
@@ -17,28 +17,28 @@
 log = Log(__name__)
 T = TypeVar("T")
 LOCALHOST = ("127.0.0.1", 0)  # the system chooses the port
-CALL_TIMEOUT_S = 30.0  # for a call on the background loop
+CALL_TIMEOUT_S = 30.0  # seconds until a call on the background loop times out
 MAX_QUEUED_BYTES = 8 << 20
 MAX_CONNECTIONS = 4096
 IDLE_TIMEOUT_S = 3600.0
-SEQ_INTERVAL_S = 1.0  # between two announcements of the change log's last number
-TURN_S = 1.0  # longest turn of the background loop
+SEQ_INTERVAL_S = 1.0  # seconds between two lines with the change log's last sequence number
+TURN_S = 1.0  # seconds; the longest time that one turn of the background loop waits for events
 
 
 class FakeWarehouse:
-    """A warehouse that speaks RESP and answers each request with one row that names itself.
+    """A warehouse that speaks RESP and answers each request with one row that contains its own name.
 
     Attributes:
-        holding: While true, requests stay pending; else they are answered at once.
-        received: Ids of all requests that came, in order.
-        pending: The stream of each request that is not answered, by id.
+        answers_suspended: Whether requests stay pending instead of being answered at once.
+        received: Ids of all requests received, in order.
+        pending: The stream of each unanswered request, by request id.
         cancelled: Ids of the requests that were cancelled, in order.
     """
 
     def __init__(self, loop: Loop, name: str) -> None:
         self.loop = loop
         self.name = name
-        self.holding = False
+        self.answers_suspended = False
         self.received: list[bytes] = []
         self.pending: dict[bytes, Stream] = {}
         self.cancelled: list[bytes] = []
@@ -61,7 +61,7 @@
         if command == b"do":
             self.received.append(request_id)
             self.pending[request_id] = stream
-            if not self.holding:
+            if not self.answers_suspended:
                 self.answer(request_id)
         elif command == b"undo":
             self.cancelled.append(request_id)
@@ -74,14 +74,14 @@
             row = self.name.encode() + b"\t1\t2\n"
             stream.write(resp.encode(request_id, b"HIT", b"pages=1,rep=inflight:1;util:0.1", row))
 
-    def release(self) -> None:
+    def resume_answers(self) -> None:
         """Answer all pending requests, and later ones at once."""
-        self.holding = False
+        self.answers_suspended = False
         for request_id in list(self.pending):
             self.answer(request_id)
 
     def stop_listening(self) -> None:
-        """Refuse connections and break those that are open, as a machine whose process is down."""
+        """Refuse new connections and close open ones, as a machine does whose server process is down."""
         self.listener.close()
         for slot in list(self.listener.slots):
             slot.stream.close()
@@ -94,10 +94,16 @@
 
 
 class FakeChangeLog:
-    """A change log that sends the events after any number, and its last number every second."""
+    """A change log: sends the events after a requested sequence number, then its last number every second.
+
+    Attributes:
+        first_seq: Sequence number of the first entry of `events`.
+        events: The encoded events in sequence; the first entry is empty.
+        followers: Streams that new events are sent to.
+    """
 
     def __init__(self, loop: Loop, seq: int) -> None:
-        """Begin after event number `seq`, with no events."""
+        """Start without events; the first one gets sequence number `seq` + 1."""
         self.loop = loop
         self.first_seq = seq
         self.events = [b""]
@@ -107,7 +113,7 @@
 
     @property
     def seq(self) -> int:
-        """Number of the last event."""
+        """Sequence number of the last event."""
         return self.first_seq + len(self.events) - 1
 
     def _accept(self, slot: ClientSlot) -> None:
@@ -138,13 +144,13 @@
             stream.write(self.events[-1])
 
     def renumber(self, *instances: dict[str, Any]) -> None:
-        """Lose all events and count from 1 again, beginning with this list."""
+        """Drop all events and restart the sequence: event 1 is a full list of these warehouses."""
         event = {"seq": 1, "fleet": {"reset": True, "instances": instances}}
         self.first_seq = 0
         self.events = [b"", json.dumps(event).encode() + b"\n"]
 
     def stop_listening(self) -> None:
-        """Refuse connections and end those that are open."""
+        """Refuse new connections and close open ones."""
         self.listener.close()
         for stream in list(self.followers):
             stream.close()
@@ -157,10 +163,10 @@
 
 
 class BackgroundLoop:
-    """The loop of all fakes of this process, in a thread that never ends.
+    """The event loop of all fake services of this process, in a daemon thread that never ends.
 
-    A greenlet that is left to the collector once its thread has ended may crash the interpreter, so there is
-    one thread for all test beds and not one for each.
+    All test beds share one thread: garbage collection of a greenlet whose thread has ended may crash the
+    interpreter.
     """
 
     def __init__(self) -> None:
@@ -183,7 +189,7 @@
                     result.put(error)
 
     def call(self, function: Callable[[], T]) -> T:
-        """Call a function on the loop's thread; returns or raises what it does."""
+        """Call a function in the loop's thread; returns its result or raises its exception."""
         results: queue.SimpleQueue[T | Exception] = queue.SimpleQueue()
         self._calls.put((function, results))
         self.loop.wakeup_socket.send(b"x")
@@ -200,5 +206,5 @@
 
 
 def all_received(warehouses: Sequence[FakeWarehouse]) -> list[bytes]:
-    """Ids of the requests that these warehouses received."""
+    """The ids of the requests that these warehouses received."""
     return [request_id for warehouse in warehouses for request_id in warehouse.received]
--- a/lilacfront/lab/fault_injection.py
+++ b/lilacfront/lab/fault_injection.py
@@ -46,9 +46,9 @@
                 case "open":
                     services.call(warehouse.resume_listening)
                 case "hold":
-                    warehouse.holding = True
+                    warehouse.answers_suspended = True
                 case "serve":
-                    services.call(warehouse.release)
+                    services.call(warehouse.resume_answers)
 
     def _apply_to_fleet(self, fault: Fault, targets: list[int]) -> None:
         relays = self._fleet.relays
@@ -58,7 +58,7 @@
             case "heal":
                 relays.network.blocked_links.clear()
             case "lie":
-                relays.lies.update(dict.fromkeys(targets, fault.lie))
+                relays.false_reports.update(dict.fromkeys(targets, fault.lie))
             case "blackout":
                 self._fleet.blackout()
             case "log":
--- a/lilacfront/lab/fleet.py
+++ b/lilacfront/lab/fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of real front end processes, with relays between them, warehouses and a change log.
+"""A fleet of real front end processes, with relays between them, fake warehouses and a fake change log.
 
-The views that the front ends have of each other are read by their admin interface.
+The membership view of each front end is read through its admin interface.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 ADMIN_TIMEOUT_S = 2.0
 DEAD_STATES = ("dead", "left")
 
-View = list[str]  # the state of each member
+View = list[str]  # the state of each member, by member number
 
 
 class Fleet:
-    """Front end processes, each in a folder of its own.
+    """Front end processes, each in its own directory.
 
     Attributes:
-        script: The script that the fleet is made for.
+        script: The fault script that defines the fleet.
         relays: The network between the members.
-        services: The warehouses and the change log.
-        test_beds: What each front end runs in.
-        processes: The present process of each front end.
+        services: The test bed of the fake warehouses and change log.
+        test_beds: The test bed of each front end.
+        processes: The current process of each front end.
         recovery_directories: The recovery store of each front end; empty without recovery.
-        start_commands: Commands of front ends that are not started by the usual one.
-        paused: The members that are stopped by a signal.
-        starting: The members that were started and have not answered yet.
-        ended: The members that were killed or have left.
+        start_commands: The start command of each front end that does not use `COMMAND`, by member.
+        paused: The members stopped by SIGSTOP.
+        starting: The members that were started again and have not answered yet.
+        ended: The members that were killed or left.
     """
 
     def __init__(self, folder: Path, script: FaultScript, seed: int = 1) -> None:
@@ -52,12 +52,12 @@
         self.starting: set[int] = set()
         self.ended: set[int] = set()
         for member in range(script.members):
-            self._prepare(member)
+            self._prepare_member(member)
         self.processes = [self.start_process(member) for member in range(script.members)]
 
     # ---- set-up ---------------------------------------------------------------------------------------
-    def _prepare(self, member: int) -> None:
-        """Make the folder, the settings files and the test bed of a member."""
+    def _prepare_member(self, member: int) -> None:
+        """Create the directory, the settings files and the test bed of a member."""
         folder = self._folder / str(member)
         folder.mkdir()
         self._write_settings(folder, member)
@@ -99,7 +99,7 @@
         return {"seq": 1, "results": [{"seq": 1, "fleet": {"reset": True, "instances": instances}}]}
 
     def start_process(self, member: int) -> FrontEndProcess:
-        """Start a process of a member, beside one that may still run."""
+        """Start a process of a member; an earlier process of it may still be running."""
         options = ["--peers", str(self._peers_path(member))]
         if self.recovery_directories:
             options += ["--recovery", str(self._recovery_path(member))]
@@ -107,13 +107,16 @@
         return self.test_beds[member].start(options=options, command=command)
 
     def wait_until_ready(self) -> Fleet:
-        """Wait until all are ready, and all with membership have received from each other."""
+        """Wait until all front ends are ready, and those with membership have received from each other."""
         for process in self.processes:
             process.wait_until_ready()
         if self.script.membership.enabled:
             members = [n for n in range(self.script.members) if n not in self.script.legacy_members]
             for viewer in members:
-                wait_until(partial(self._received_from_all, viewer, members), "all to receive from all")
+                wait_until(
+                    partial(self._received_from_all, viewer, members),
+                    f"member {viewer} to receive datagrams from all members",
+                )
         return self
 
     def _received_from_all(self, viewer: int, members: list[int]) -> bool:
@@ -129,7 +132,7 @@
 
     # ---- views ----------------------------------------------------------------------------------------
     def view(self, viewer: int) -> View | None:
-        """The states in which one front end sees all members; None where it does not answer."""
+        """The state of each member in the view of one front end; None if it does not answer."""
         try:
             lines = self.processes[viewer].admin_request("PEERS", ADMIN_TIMEOUT_S).splitlines()
         except OSError:
@@ -139,28 +142,28 @@
         return [line.split(" ")[1] for line in lines[1:]]
 
     def viewers(self) -> list[int]:
-        """The members whose views count: those that run, tell the truth and have membership."""
-        excluded = self.ended | self.paused | set(self.relays.lies) | set(self.script.legacy_members)
+        """The members whose views are scored: running, with membership, without falsified datagrams."""
+        excluded = self.ended | self.paused | set(self.relays.false_reports) | set(self.script.legacy_members)
         return [member for member in range(self.script.members) if member not in excluded]
 
     def state_seen_by(self, viewer: int, member: int) -> str:
-        """The state in which one front end sees a member."""
+        """The state of a member in the view of one front end."""
         view = self.view(viewer)
         return "no answer" if view is None else view[member]
 
-    def all_see_state(self, member: int, state: str, but: tuple[int, ...] = ()) -> bool:
-        """Whether all running front ends, but for these, see a member in a state."""
+    def all_see_state(self, member: int, state: str, excluded: tuple[int, ...] = ()) -> bool:
+        """Whether a member has this state in the views of all running front ends, except the excluded ones."""
         return all(
             self.state_seen_by(viewer, member) == state
             for viewer in range(self.script.members)
-            if viewer not in (member, *but)
+            if viewer not in (member, *excluded)
             and viewer not in self.ended
             and viewer not in self.script.legacy_members
         )
 
     # ---- processes ------------------------------------------------------------------------------------
     def kill(self, member: int) -> None:
-        """Kill a front end."""
+        """Kill a front end with SIGKILL, and wait until it has ended."""
         self.processes[member].signal(signal.SIGKILL)
         self._wait_until_ended(member)
 
@@ -172,22 +175,22 @@
         self.relays.dead_members.discard(member)
 
     def pause(self, member: int) -> None:
-        """Stop a process until `resume`."""
+        """Stop a process with SIGSTOP until `resume`."""
         self.processes[member].signal(signal.SIGSTOP)
         self.paused.add(member)
 
     def resume(self, member: int) -> None:
-        """Continue a paused process."""
+        """Continue a paused process with SIGCONT."""
         self.processes[member].signal(signal.SIGCONT)
         self.paused.discard(member)
 
     def leave(self, member: int) -> None:
-        """Shut a front end down gracefully."""
+        """Start the graceful shutdown of a front end."""
         self.processes[member].signal(signal.SIGTERM)
         self.ended.add(member)
 
     def blackout(self) -> None:
-        """A power loss: all front ends end at once, and their files in memory are lost."""
+        """Simulate a power loss: kill all front ends at once and delete their temporary files."""
         for member, process in enumerate(self.processes):
             if member not in self.ended:
                 process.signal(signal.SIGKILL)
@@ -203,16 +206,16 @@
 
     # ---- recovery stores ------------------------------------------------------------------------------
     def save_recovery_directories(self) -> None:
-        """Copy all recovery stores, for `restore_recovery_directory`."""
+        """Save a copy of each recovery store for `restore_recovery_directory`."""
         for member, directory in enumerate(self.recovery_directories):
             shutil.copytree(directory, self._saved_directory(member))
 
     def restore_recovery_directory(self, member: int) -> None:
-        """Replace a recovery store by its saved copy."""
+        """Replace a recovery store with its saved copy."""
         self.replace_recovery_directory(member, self._saved_directory(member))
 
     def replace_recovery_directory(self, member: int, source: Path) -> None:
-        """Replace a recovery store by a copy of a directory."""
+        """Replace a recovery store with a copy of a directory."""
         shutil.rmtree(self.recovery_directories[member])
         shutil.copytree(source, self.recovery_directories[member])
 
--- a/lilacfront/lab/fleet_cli.py
+++ b/lilacfront/lab/fleet_cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront lab fleet`: a script on real processes; a table, and plots of the views beside the truth."""
+"""`lilacfront lab fleet`: runs fault scripts on real processes; prints scores and plots membership views."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 @click.argument("scripts", nargs=-1, required=True, type=FILE)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 @click.option(
-    "--out", type=click.Path(file_okay=False, path_type=Path), help="Where to write plots and views."
+    "--out", type=click.Path(file_okay=False, path_type=Path), help="Directory for the plots and views."
 )
 def command(scripts: tuple[Path, ...], seed: int, out: Path | None) -> None:
-    """Play scripts of faults on 3 to 16 real front ends, with relays between them; a table in Markdown.
+    """Run fault scripts on 3 to 16 real front ends with relays between them, and print a Markdown table.
 
-    The same files as for `lab members`, and in them `warehouses`, `requests_per_s`, faults of warehouses, and
-    `old`: members that run without membership.
+    The files are those of `lab members`. They may also contain `warehouses`, `requests_per_s`, faults of
+    warehouses, and `old`: the members that run without membership.
     """
     click.echo(HEADER)
     for path in scripts:
@@ -43,7 +43,7 @@
 
 
 def describe_endings(endings: Counter[str]) -> str:
-    """How requests ended, as text."""
+    """Format the number of requests by result."""
     return ", ".join(f"{count} {ending}" for ending, count in sorted(endings.items()))
 
 
@@ -53,12 +53,14 @@
     except ScriptError as error:
         raise click.ClickException(f"{path}: {error}") from error
     if script.members > MAX_PROCESSES:
-        raise click.ClickException(f"{path}: members: {script.members} are too many for real processes")
+        raise click.ClickException(
+            f"{path}: members: {script.members} exceeds the maximum of {MAX_PROCESSES} processes"
+        )
     return script
 
 
 def _play(script: FaultScript, seed: int) -> tuple[FleetResult, int]:
-    """Play a script; its result, and the bytes of the longest datagram."""
+    """Run a script; returns the result and the length of the longest datagram in bytes."""
     with tempfile.TemporaryDirectory(prefix="lilacfront-fleet-") as folder:
         fleet = Fleet(Path(folder), script, seed)
         try:
@@ -69,7 +71,7 @@
 
 
 def _write_views(samples: list[ViewSample], members: int, title: str, stem: Path) -> None:
-    """Write the plot and the views, as one JSON line a sample."""
+    """Write the plot to an SVG file, and the views to a file with one JSON line per sample."""
     from lilacfront.lab.fleet_plot import plot_views  # matplotlib is optional, and slow to import
 
     plot_views(samples, members, title, stem.with_name(f"{stem.name}.svg"))
--- a/lilacfront/lab/fleet_plot.py
+++ b/lilacfront/lab/fleet_plot.py
@@ -1,4 +1,4 @@
-"""Plots the views of a fleet over time beside the truth; needs the optional `lab` dependencies."""
+"""Plots membership views and real states of a fleet over time; needs the optional `lab` dependencies."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def plot_views(samples: list[ViewSample], members: int, title: str, path: Path) -> None:
-    """Write a column of panels: the truth, then each member's view; in each a line a member."""
+    """Plot a column of panels: the real states, then the view of each member, with one row per member."""
     matplotlib.use("Agg")
     figure = Figure(
         figsize=(WIDTH_INCHES, MARGIN_INCHES + (PANEL_INCHES + MEMBER_INCHES * members) * (members + 1))
@@ -59,7 +59,7 @@
     axis: Axes, samples: list[ViewSample], views: list[list[str] | None], members: int, label: str
 ) -> None:
     colours = ListedColormap(list(STATE_COLOURS.values()))
-    colours.set_bad("white")  # it was not running, or did not answer
+    colours.set_bad("white")  # the viewer was not running or did not answer
     grid = np.full((members, len(samples)), np.nan)
     for column, view in enumerate(views):
         for member, state in enumerate(view or ()):
--- a/lilacfront/lab/fleet_run.py
+++ b/lilacfront/lab/fleet_run.py
@@ -1,4 +1,4 @@
-"""Plays a whole script on a fleet of real processes and scores the views of the front ends."""
+"""Runs a fault script on a fleet of real processes and scores the membership views of the front ends."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 @dataclass(slots=True, frozen=True)
 class ViewSample:
-    """All views at one time.
+    """The views of all members at one time.
 
     Attributes:
-        at_s: Seconds after the start.
-        views: The view of each member that answered.
-        truth: The members that are dead or stopped.
+        at_s: Seconds since the start of the run.
+        views: The view of each member that answered, by member.
+        truth: The real state of each dead or stopped member; all others are alive.
     """
 
     at_s: float
@@ -33,12 +33,12 @@
 
 @dataclass(slots=True)
 class FleetResult:
-    """What a run showed.
+    """The results of a run.
 
     Attributes:
         outcome: The score of the views.
         samples: The views over time.
-        request_endings: Requests by how they ended.
+        request_endings: Number of requests by result.
     """
 
     outcome: Outcome
@@ -47,7 +47,7 @@
 
 
 class FleetRun:
-    """One run of the script of a fleet."""
+    """A run of a fleet's fault script."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -60,7 +60,7 @@
         self._started_at = 0.0
 
     def play(self) -> FleetResult:
-        """Play the script in real time."""
+        """Run the script in real time."""
         clients = self._start_clients()
         try:
             self._fleet.save_recovery_directories()
@@ -105,7 +105,7 @@
         if fault.action == "heal":
             self._scorer.record_heal(now)
         for member in targets:
-            # Not after a blackout, as nobody is left to detect it.
+            # Deaths in a blackout are not scored, as no member is left to detect them.
             if fault.action in ("kill", "leave"):
                 self._scorer.record_death(member, now)
             elif fault.action == "continue":
--- a/lilacfront/lab/fleet_settings.py
+++ b/lilacfront/lab/fleet_settings.py
@@ -1,4 +1,4 @@
-"""Settings files of the front ends of a fleet, from the settings in a script."""
+"""Converts the settings in a fault script to settings files for the front ends of a fleet."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def membership_toml(settings: MembershipSettings, enabled: bool) -> str:
-    """The TOML of a [membership] table; `enabled` replaces the setting's own value."""
+    """Encode the [membership] table; `enabled` replaces the value in the settings."""
     table = msgspec.to_builtins(settings)
     uses = table.pop("uses")
     table["on"] = enabled
@@ -20,7 +20,7 @@
 
 
 def recovery_toml(settings: RecoverySettings, directory: Path) -> str:
-    """The TOML of a [recovery] table, with a directory of this front end's own."""
+    """Encode the [recovery] table; `directory` replaces the value in the settings."""
     table = {**msgspec.to_builtins(settings), "directory": str(directory)}
     return f"[recovery]\n{_toml_lines(table)}"
 
--- a/lilacfront/lab/log_summary.py
+++ b/lilacfront/lab/log_summary.py
@@ -1,6 +1,6 @@
-"""Summary of the debug logs of a whole fleet, one file a front end: `lilacfront lab count DIR`.
+"""`lilacfront lab count`: summarizes the debug logs of a fleet, one file per front end.
 
-Each line is one that `--log-level debug` writes to a console, whatever stands before its level.
+The logs are in the console format that `--log-level debug` writes; any text may precede the level in a line.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 )
 FIELD_PATTERN = re.compile(r" (\w+)=(?:\"((?:[^\"\\]|\\.)*)\"|(\S+))")
 ABANDONED_ENDINGS = ("cancelled", "timed out")
-BUSIEST_DIVISOR = 8  # the busiest eighth of the front ends is reported apart
+BUSIEST_DIVISOR = 8  # the busiest eighth of the front ends is reported separately
 
 EventFields = dict[str, str]
 
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """A request, attempt or answer in a log.
+    """A logged request, attempt or answer.
 
     Attributes:
         name: The event's name.
@@ -39,7 +39,7 @@
 
 
 def parse_events(lines: Iterable[str]) -> Iterator[LogEvent]:
-    """The requests, attempts and answers in a log; other lines, and truncated lines, are left out."""
+    """Parse the requests, attempts and answers in a log; other lines and truncated lines are skipped."""
     for line in lines:
         match = EVENT_PATTERN.search(line)
         if match is not None:
@@ -59,15 +59,15 @@
 
 @dataclass(slots=True)
 class LogSummary:
-    """What a fleet did.
+    """Counts of a fleet's requests, attempts and answers.
 
     Attributes:
-        answers: Requests by class and kind of answer.
-        endings: Attempts by class and ending.
-        attempt_seconds: Total duration of attempts by class and ending.
-        by_second: Requests received (`asked`) and answers by kind, for each second.
-        by_front_end: The same for each front end.
-        table_groups: Completed attempts by engine and table group.
+        answers: Number of requests by class and kind of answer.
+        endings: Number of attempts by class and ending.
+        attempt_seconds: Total duration of attempts in seconds, by class and ending.
+        by_second: Number of requests (`received`) and of answers by kind, for each second.
+        by_front_end: Number of requests (`received`) and of answers by kind, for each front end.
+        table_groups: Number of completed attempts by engine and table group.
     """
 
     answers: Counter[tuple[str, str]] = field(default_factory=Counter)
@@ -83,7 +83,7 @@
         """Count an event of a front end's log."""
         match event.name:
             case "request received":
-                self._count(front_end, event.fields, "asked")
+                self._count(front_end, event.fields, "received")
             case "request answered":
                 answer = event.fields["answer"].split("(")[0].lower()
                 self.answers[event.fields["class_index"], answer] += 1
@@ -110,7 +110,7 @@
             self._abandoned.append(AbandonedAttempt(class_index, engine, started_at, ended_at))
 
     def abandoned_attempts(self) -> Counter[tuple[str, bool]]:
-        """Abandoned attempts by class, and by whether their engine completed others meanwhile."""
+        """Count abandoned attempts by class and whether their engine completed others in the same period."""
         counts: Counter[tuple[str, bool]] = Counter()
         for times in self._completed_at.values():
             times.sort()
@@ -122,8 +122,11 @@
 
 
 def report_lines(summary: LogSummary) -> Iterator[str]:
-    """The summary as text, line by line."""
-    answers = [f"class {cls} {answer} {n}" for (cls, answer), n in sorted(summary.answers.items())]
+    """Format the summary as lines of text."""
+    answers = [
+        f"class {class_index} {answer} {number}"
+        for (class_index, answer), number in sorted(summary.answers.items())
+    ]
     yield "answers: " + ", ".join(answers)
     yield from _attempt_lines(summary)
     yield from _table_group_lines(summary)
@@ -132,44 +135,47 @@
 
 
 def _attempt_lines(summary: LogSummary) -> Iterator[str]:
-    for (cls, ending), n in sorted(summary.endings.items()):
-        seconds = summary.attempt_seconds[cls, ending]
-        yield f"attempts: class {cls} {ending} {n}, {seconds:.0f} s out, {seconds / n:.2f} s each"
-    for (cls, completed_others), n in sorted(summary.abandoned_attempts().items()):
-        engines_did = "answered others" if completed_others else "silent to all"
-        yield f"given up: class {cls} {n}, their engines {engines_did}"
+    for (class_index, ending), number in sorted(summary.endings.items()):
+        seconds = summary.attempt_seconds[class_index, ending]
+        mean_s = seconds / number
+        yield f"attempts: class {class_index} {ending} {number}, {seconds:.0f} s total, {mean_s:.2f} s mean"
+    for (class_index, completed_others), number in sorted(summary.abandoned_attempts().items()):
+        others = "other attempts" if completed_others else "no other attempt"
+        yield f"abandoned attempts: class {class_index} {number}, their engines completed {others} meanwhile"
 
 
 def _table_group_lines(summary: LogSummary) -> Iterator[str]:
-    """The mean over engines of the effective number of table groups (inverse Simpson index)."""
-    sizes = [
-        1 / sum((n / counts.total()) ** 2 for n in counts.values())
+    """Format the mean over engines of the effective number of table groups (inverse Simpson index)."""
+    effective_numbers = [
+        1 / sum((number / counts.total()) ** 2 for number in counts.values())
         for counts in summary.table_groups.values()
     ]
-    if sizes:
-        yield f"table groups an engine, weighed: {sum(sizes) / len(sizes):.1f}"
+    if effective_numbers:
+        mean = sum(effective_numbers) / len(effective_numbers)
+        yield f"effective table groups per engine: {mean:.1f}"
 
 
 def _front_end_lines(summary: LogSummary) -> Iterator[str]:
-    by_load = sorted(summary.by_front_end.values(), key=lambda counts: -counts["asked"])
-    busiest = len(by_load) // BUSIEST_DIVISOR
-    for name, front_ends in (("the busiest eighth", by_load[:busiest]), ("the others", by_load[busiest:])):
-        asked = sum(counts["asked"] for counts in front_ends)
+    by_load = sorted(summary.by_front_end.values(), key=lambda counts: -counts["received"])
+    split = len(by_load) // BUSIEST_DIVISOR
+    for name, front_ends in (("busiest eighth", by_load[:split]), ("others", by_load[split:])):
+        received = sum(counts["received"] for counts in front_ends)
         rejected = sum(counts["rejected"] for counts in front_ends)
-        yield f"{name}: {len(front_ends)} front ends, asked {asked}, refused {rejected / max(1, asked):.3f}"
+        fraction = rejected / max(1, received)
+        yield f"{name}: {len(front_ends)} front ends, received {received}, fraction rejected {fraction:.3f}"
 
 
 def _second_lines(summary: LogSummary) -> Iterator[str]:
     first = min(summary.by_second, default=0)
     for second, counts in sorted(summary.by_second.items()):
-        cells = ", ".join(f"{name} {n}" for name, n in sorted(counts.items()))
+        cells = ", ".join(f"{kind} {number}" for kind, number in sorted(counts.items()))
         yield f"second {second - first}: {cells}"
 
 
 @click.command()
 @click.argument("logs", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def count(logs: Path) -> None:
-    """Count the debug logs of a fleet, one *.log a front end: answers, attempts, engines, seconds."""
+    """Summarize the debug logs of a fleet in a directory, with one *.log file per front end."""
     summary = LogSummary()
     for path in sorted(logs.glob("*.log")):
         with path.open(errors="replace") as file:
--- a/lilacfront/lab/members_cli.py
+++ b/lilacfront/lab/members_cli.py
@@ -63,12 +63,14 @@
 
 def _false_positives(outcomes: list[Outcome]) -> str:
     times = [time for outcome in outcomes for time in outcome.false_positive_times]
-    after = max(outcome.longest_false_positive_after for outcome in outcomes)
+    after = max(outcome.longest_false_positive_after_fault for outcome in outcomes)
     return f"{len(times)}, {max(times, default=0.0):.2f}, {after:.2f}"
 
 
 def _agreements(outcomes: list[Outcome]) -> str:
-    times = sorted(outcome.agreed_at for outcome in outcomes if not math.isnan(outcome.agreed_at))
+    times = sorted(
+        outcome.convergence_time for outcome in outcomes if not math.isnan(outcome.convergence_time)
+    )
     text = f"{median(times):.2f}, {times[-1]:.2f}" if times else "-"
     never = len(outcomes) - len(times)
     return f"{text}; {never} not" if never else text
--- a/lilacfront/lab/process.py
+++ b/lilacfront/lab/process.py
@@ -1,4 +1,4 @@
-"""Stand-in servers in processes of their own, on free loopback ports."""
+"""Stand-in servers in separate processes, on free loopback ports."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 STARTUP_TIMEOUT_S = 30.0
 EXIT_TIMEOUT_S = 5.0
-BUSY_WAIT_S = 0.005  # of each wait, so that delays are kept to a fraction of a millisecond
+BUSY_WAIT_S = 0.005  # busy-waits this long before a timer, so that delays are exact to a fraction of 1 ms
 
 
 def serve(
@@ -30,10 +30,10 @@
     """Serve until SIGTERM or SIGINT.
 
     Args:
-        behaviour: What the server does to requests.
-        address: Where to listen; port 0 for a free one.
-        record_path: Where to write what became of each request.
-        on_listening: Is called with the address of the listener.
+        behaviour: Script of the server's actions.
+        address: Host and port to listen on; port 0 selects a free port.
+        record_path: File for the record of each request; None writes no records.
+        on_listening: Called with the listener's address.
     """
     loop = Loop(time.monotonic, BUSY_WAIT_S)
     with record_path.open("wb") if record_path is not None else contextlib.nullcontext() as record_file:
@@ -48,15 +48,15 @@
         server.close()
 
 
-def _main(behaviour: bytes, record_path: str, ready: Connection) -> None:
+def _run_server(behaviour: bytes, record_path: str, ready: Connection) -> None:
     serve(parse_behaviour(behaviour), ("127.0.0.1", 0), Path(record_path), ready.send)
 
 
 class StandInProcesses:
-    """Several servers with one behaviour, for the length of a `with`.
+    """Context manager that runs several servers with the same behaviour.
 
     Attributes:
-        record_paths: Where each server writes what became of its requests.
+        record_paths: The file of request records of each server.
         addresses: `host:port` of each server.
     """
 
@@ -77,11 +77,11 @@
         return self
 
     def _start(self, record_path: Path) -> Connection:
-        """Start a server; its address comes by the returned connection."""
+        """Start a server; the returned connection receives its address."""
         context = multiprocessing.get_context("spawn")
         receiver, sender = context.Pipe()
         arguments = (self._behaviour, str(record_path), sender)
-        process = context.Process(target=_main, args=arguments, daemon=True)
+        process = context.Process(target=_run_server, args=arguments, daemon=True)
         process.start()
         sender.close()
         self._processes.append(process)
@@ -99,10 +99,10 @@
 
 def _wait_for_address(pipe: Connection) -> str:
     if not pipe.poll(STARTUP_TIMEOUT_S):
-        raise OSError("a stand-in server does not start")
+        raise OSError(f"stand-in server did not listen within {STARTUP_TIMEOUT_S:.0f} s")
     try:
         host, port = pipe.recv()
     except EOFError:
-        raise OSError("a stand-in server ended during its start") from None
+        raise OSError("stand-in server exited before it listened") from None
     pipe.close()
     return f"{host}:{port}"
--- a/lilacfront/lab/request_client.py
+++ b/lilacfront/lab/request_client.py
@@ -1,4 +1,4 @@
-"""A client that sends one front end lookups at a fixed rate and counts how they end."""
+"""A client that sends lookups to one front end and counts their results."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 _US_PER_S = 1e6
 LATENCY_OBJECTIVE_S = SETTINGS["classes"][0]["aim"] / _US_PER_S
-CALL_NUMBER_BITS = 32  # of a call's id; the client's number stands above them
+CALL_NUMBER_BITS = 32  # low bits of a call id that number the calls; the high bits are the client's number
 
 
 class RequestClient(threading.Thread):
-    """Sends lookups one by one, each on a connection that is kept until one has no answer.
+    """Sends lookups sequentially on one connection, and reconnects after one that got no answer.
 
     Attributes:
-        endings: Requests by how they ended.
+        endings: Number of requests by result: the kind of reply, marked if late, or "no answer".
     """
 
     def __init__(self, number: int, address: tuple[str, int], requests_per_s: float) -> None:
@@ -32,7 +32,7 @@
         self._client: ThriftClient | None = None
 
     def stop(self) -> None:
-        """Send nothing more; the thread ends with the request in flight."""
+        """Send no more requests; the thread ends after the request in flight."""
         self._stopping.set()
 
     def run(self) -> None:
@@ -51,13 +51,13 @@
         self._disconnect()
 
     def _send_request(self, number: int) -> thrift.Reply | None:
-        """Send a request and wait; None if it has no answer."""
+        """Send a request and wait for the reply; None if the connection ends first."""
         try:
             if self._client is None:
                 self._client = ThriftClient(self._address)
             call_id = (self._number << CALL_NUMBER_BITS) + number
             seqid = self._client.send_request(call_id, group=number)
-            return self._client.wait_for_reply(seqid, must=False)
+            return self._client.wait_for_reply(seqid, required=False)
         except OSError:
             return None
 
--- a/lilacfront/lab/standin.py
+++ b/lilacfront/lab/standin.py
@@ -1,7 +1,7 @@
-"""A stand-in server: a target of load with known behaviour.
+"""A stand-in server: a load target with scripted behaviour.
 
-It serves ClickHouse's HTTP interface or the platform's protocol and records what it really did, the truth to
-compare a load generator's measurements against.
+It serves ClickHouse's HTTP interface or the platform's protocol and records the action and the times of each
+request, to check the measurements of a load generator against.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 MAX_BODY_BYTES = 64 << 20
 IDLE_TIMEOUT_S = 3600.0
 MS_PER_S = 1000
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER without a time
-TRUNCATED_FRAME_BYTES = 4  # that are missing of a truncated answer
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER enabled with a timeout of 0: close sends a RST
+TRUNCATED_FRAME_BYTES = 4  # bytes cut from the end of a truncated answer
 REJECTED_CODE = b"202"
 REJECTED_BODY = b"Code: 202. DB::Exception: Too many simultaneous queries. (TOO_MANY_SIMULTANEOUS_QUERIES)\n"
 ERROR_CODE = b"241"
@@ -35,13 +35,13 @@
 
 
 class RequestRecord(msgspec.Struct, array_like=True):
-    """What became of one request; times in seconds on the loop's clock.
+    """The action taken on one request; times in seconds on the loop's clock.
 
     Attributes:
         id: The request's id in its protocol.
-        action: The value of the `ResponseAction`.
-        received_at: When it was read whole.
-        ended_at: When it was answered.
+        action: The value of the `ResponseAction` taken.
+        received_at: When the request was completely read.
+        ended_at: When the action was taken.
     """
 
     id: str
@@ -51,15 +51,15 @@
 
 
 class StandInServer:
-    """Serves at one address.
+    """A server on one address.
 
     Attributes:
-        behaviour: What it does to requests.
-        actions: Decides the action for each request.
-        started_at: Seconds on the loop's clock.
-        pending: Requests that were read whole and are not answered.
-        action_counts: Requests by the value of their action.
-        address: Where it listens.
+        behaviour: Script of the actions taken on requests.
+        actions: Chooses the action and delay for each request.
+        started_at: Start time in seconds on the loop's clock.
+        pending: Number of requests that were completely read and are not answered.
+        action_counts: Number of requests by the value of their action.
+        address: Host and port of the listening socket.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self.address = self._listener.address
 
     def record(self, request: RequestRecord) -> None:
-        """Write a JSON line for a request that ended."""
+        """Write a JSON line for a finished request."""
         if self._record_file is not None:
             self._record_file.write(self._encoder.encode(request) + b"\n")
 
@@ -86,14 +86,14 @@
         self._listener.close()
 
     def _accept(self, slot: ClientSlot) -> None:
-        slot.mark_busy()  # no connection is closed here to make room for another
+        slot.mark_busy()  # keeps the listener from closing this connection in favour of a new one
         connection_type = _HttpConnection if self.behaviour.protocol == "clickhouse" else _ThriftConnection
         connection = connection_type(self, slot.stream)
         self.loop.spawn(connection.run)
 
 
 class _Connection(ABC):
-    """Reads requests and answers each at its time."""
+    """A client connection: reads requests and answers each after its scripted delay."""
 
     def __init__(self, server: StandInServer, stream: Stream) -> None:
         self.server = server
@@ -103,10 +103,10 @@
 
     @abstractmethod
     def feed(self, data: bytes) -> None:
-        """Parse what was read."""
+        """Parse received bytes and handle the requests in them."""
 
     def run(self, task: Task) -> None:
-        """Read until the connection ends."""
+        """Read requests until the connection ends."""
         try:
             while not self.stream.closed:
                 data = self.stream.read(task, self.loop.now + IDLE_TIMEOUT_S)
@@ -121,7 +121,7 @@
             self.open_requests.clear()
 
     def handle_request(self, request_id: str, build_response: Callable[[ResponseAction], bytes]) -> None:
-        """Handle a request that was read whole; `build_response` makes the bytes for an action."""
+        """Handle a completely read request; `build_response` encodes the response for an action."""
         server = self.server
         received_at = self.loop.clock()
         action, delay_s = server.actions.next_action(received_at - server.started_at)
@@ -144,7 +144,7 @@
             self.loop.call_at(server.started_at + delay_s, finish)
 
     def discard_request(self, request_id: str) -> None:
-        """The request gets no answer from now on."""
+        """Forget a pending request, so that it is not answered."""
         self.open_requests.discard(request_id)
         self.server.pending -= 1
 
@@ -154,7 +154,7 @@
             self.stream.write(response)
         if action is ResponseAction.RESET:
             self._reset()
-        # At once, so that the recorded time is that of the answer, not of the turn before it.
+        # Flushed now and not at the end of the loop's turn, so that the recorded time is that of the answer.
         self.stream.flush()
         if action is ResponseAction.TRUNCATE:
             self.stream.close()
@@ -166,7 +166,7 @@
 
 
 class _HttpConnection(_Connection):
-    """A connection of ClickHouse's HTTP interface."""
+    """A client connection of ClickHouse's HTTP interface."""
 
     def __init__(self, server: StandInServer, stream: Stream) -> None:
         super().__init__(server, stream)
@@ -183,7 +183,7 @@
                 case http1.Body(body):
                     self._body_bytes += len(body)
                     if self._body_bytes > MAX_BODY_BYTES:
-                        raise http1.HttpError(413, "too large")
+                        raise http1.HttpError(413, "request body is too large")
                 case http1.End():
                     assert self._head is not None
                     self._dispatch(self._head)
@@ -229,7 +229,7 @@
 
 
 class _ThriftConnection(_Connection):
-    """A connection of the platform's protocol, with several calls in flight."""
+    """A client connection of the platform's protocol, which can have several calls in flight."""
 
     def __init__(self, server: StandInServer, stream: Stream) -> None:
         super().__init__(server, stream)
@@ -254,7 +254,7 @@
     def _invoke(self, message: thrift.Message) -> None:
         seqid = message.seqid
         if len(self._calls) >= thrift.MAX_OPEN_CALLS or seqid in self._calls:
-            raise thrift.ThriftError("too many open calls, or a sequence id that is open already")
+            raise thrift.ThriftError(f"sequence id {seqid} is already in use, or too many calls are open")
         request_id = message.fields.get(b"call", b"").decode(errors="replace")
         self._calls[seqid] = request_id
 
--- a/lilacfront/lab/test_bed.py
+++ b/lilacfront/lab/test_bed.py
@@ -1,6 +1,7 @@
 """Front ends as real processes, with fake warehouses and a fake change log, for tests and experiments.
 
-Tests wait for events under generous limits (`FrontEndProcess.wait_for_log`, `wait_until`), never for a time.
+Tests wait for conditions with a long timeout (`FrontEndProcess.wait_for_log`, `wait_until`) and never sleep
+for a fixed time.
 """
 
 from __future__ import annotations
@@ -22,11 +23,11 @@
 
 T = TypeVar("T")
 COMMAND = [sys.executable, "-m", "lilacfront", "--log-format", "json", "--log-level", "info"]
-WAIT_TIMEOUT_S = 30.0  # reached only where something fails
+WAIT_TIMEOUT_S = 30.0  # a wait takes this long only if the test fails
 WAIT_INTERVAL_S = 0.01
 READ_BYTES = 65536
 BACKLOG = 512
-FIRST_SEQ = 1  # of the change log
+FIRST_SEQ = 1  # sequence number of the change log's first event
 SETTINGS: dict[str, Any] = {
     "classes": [
         {"name": "lookup", "aim": 800_000, "deadline": 4_000_000, "effect": "free", "worth": 1.0},
@@ -47,7 +48,7 @@
         "most-tries": 5,
         "retry-after": True,
         "max-retry-after": 2_000_000,
-        "connect-timeout": 5_000_000,  # a busy machine must not make a warehouse look gone
+        "connect-timeout": 5_000_000,  # us; a shorter one fails connects on a busy machine
     },
     "safety": {"answer-slack": 20_000, "stop-sending-within": 500_000},
 }
@@ -57,11 +58,11 @@
     """Fake services, a listening socket that processes inherit, and the processes of one front end.
 
     Attributes:
-        directory: For the configuration file, and for the state directory below it.
+        directory: Contains the configuration file and the directory for temporary files.
         address: Host and port of the listening socket.
-        warehouses: The fake warehouses by id.
+        warehouses: The fake warehouses, by id.
         change_log: The fake change log.
-        config_overrides: Keys of the configuration that differ from the usual ones.
+        config_overrides: Values that replace those of the default configuration, by key.
         processes: All processes started so far.
     """
 
@@ -83,29 +84,29 @@
         return FakeChangeLog(self.loop, FIRST_SEQ)
 
     def call(self, function: Callable[[], T]) -> T:
-        """Call a function on the loop of the fake services; returns or raises what it does."""
+        """Call a function on the loop of the fake services; returns its result or raises its exception."""
         return background_loop().call(function)
 
-    def hold(self) -> None:
-        """Have all warehouses leave their requests pending from now on."""
+    def suspend_answers(self) -> None:
+        """Leave all requests of all warehouses pending until `resume_answers`."""
         for warehouse in self.warehouses.values():
-            warehouse.holding = True
+            warehouse.answers_suspended = True
 
     def received(self) -> list[bytes]:
-        """Ids of the requests that the warehouses received."""
+        """The ids of the requests that the warehouses received."""
         return all_received(list(self.warehouses.values()))
 
-    def release(self) -> None:
-        """Have all warehouses answer their pending requests, and later ones at once."""
+    def resume_answers(self) -> None:
+        """Answer the pending requests of all warehouses, and later ones at once."""
 
-        def release_all() -> None:
+        def resume_all() -> None:
             for warehouse in self.warehouses.values():
-                warehouse.release()
+                warehouse.resume_answers()
 
-        self.call(release_all)
+        self.call(resume_all)
 
     def instance(self, name: str, state: str = "ready", started_s: float = 0.0) -> dict[str, Any]:
-        """An entry of the endpoint list for one of the warehouses."""
+        """Build the endpoint list entry of a warehouse."""
         return {
             "instanceId": name,
             "hostPort": self.warehouses[name].address,
@@ -115,7 +116,7 @@
             "startedAtMs": int(started_s * 1000),
         }
 
-    def configuration(self) -> Path:
+    def write_configuration(self) -> Path:
         """Write the configuration file; returns its path."""
         instances = [self.instance(name) for name in self.warehouses]
         fleet = {"reset": True, "instances": instances}
@@ -134,20 +135,20 @@
 
     def start(
         self,
-        passed: bool = True,
+        inherit_socket: bool = True,
         options: Sequence[str] = (),
         command: Sequence[str] = COMMAND,
         **environment: str,
     ) -> FrontEndProcess:
-        """Start one more process of the front end.
+        """Start another process of the front end.
 
         Args:
-            passed: Whether it inherits the listening socket.
-            options: Options behind `serve`.
-            command: The program with its general options.
-            environment: Environment variables beside those of this process.
+            inherit_socket: Whether the process inherits the listening socket.
+            options: Command line options after `serve`.
+            command: The program and its general options, before `serve`.
+            environment: Environment variables to set in addition to those of this process.
         """
-        process = FrontEndProcess(self, passed, environment, options, command)
+        process = FrontEndProcess(self, inherit_socket, environment, options, command)
         self.processes.append(process)
         return process
 
@@ -159,7 +160,10 @@
         self.listening_socket.close()
 
     def _stop_services(self) -> None:
-        listeners = [self.change_log.listener, *(one.listener for one in self.warehouses.values())]
+        listeners = [
+            self.change_log.listener,
+            *(warehouse.listener for warehouse in self.warehouses.values()),
+        ]
         for listener in listeners:
             listener.close()
             for slot in list(listener.slots):
@@ -167,7 +171,7 @@
 
 
 def wait_until(condition: Callable[[], T], description: str) -> T:
-    """Wait until the condition returns something true; returns that."""
+    """Poll a condition until its result is true, and return that result."""
     deadline = time.monotonic() + WAIT_TIMEOUT_S
     while not (result := condition()):
         if time.monotonic() > deadline:
@@ -180,41 +184,42 @@
     """One process of the front end.
 
     Attributes:
-        admin_address: Host and port of its admin address.
-        log_lines: What it has logged, each line as the object that it is.
-        popen: The process itself.
+        admin_address: Host and port of its admin interface.
+        log_lines: The decoded JSON object of each log line; a line that is not JSON becomes an `event`.
+        popen: The subprocess.
     """
 
     def __init__(
         self,
         test_bed: ProcessTestBed,
-        passed: bool,
+        inherit_socket: bool,
         environment: dict[str, str],
         options: Sequence[str],
         command: Sequence[str],
     ) -> None:
         """Start the process; see `ProcessTestBed.start`."""
-        # Bound and not listening, so that no other socket is given the port before the process binds it.
+        # Reserves the port: a socket that is bound but not listening keeps the system from assigning the port
+        # to another socket before the process binds it.
         self._port_reservation = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._port_reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._port_reservation.bind(("127.0.0.1", 0))
         self.admin_address: tuple[str, int] = self._port_reservation.getsockname()
         variables = {
             **os.environ,
-            "PROXY_CONFIG": str(test_bed.configuration()),
+            "PROXY_CONFIG": str(test_bed.write_configuration()),
             "PROXY_ADMIN": "{}:{}".format(*self.admin_address),
             "TMPDIR": str(test_bed.directory / "tmp"),
             **environment,
         }
         descriptor = test_bed.listening_socket.fileno()
-        if passed:
+        if inherit_socket:
             variables["PROXY_PASSED_SOCKET"] = str(descriptor)
         self.log_lines: list[dict[str, Any]] = []
         self.popen = subprocess.Popen(
             [*command, "serve", *options],
             env=variables,
             stderr=subprocess.PIPE,
-            pass_fds=[descriptor] if passed else [],
+            pass_fds=[descriptor] if inherit_socket else [],
         )
         self._reader = threading.Thread(target=self._read_log, daemon=True)
         self._reader.start()
@@ -228,7 +233,7 @@
                 self.log_lines.append({"event": line.decode(errors="replace").strip()})
 
     def logged(self, event: str, **fields: Any) -> list[dict[str, Any]]:
-        """The lines of this event with these values."""
+        """Return the log lines of an event whose fields have these values."""
         return [
             line
             for line in list(self.log_lines)
@@ -236,20 +241,23 @@
         ]
 
     def wait_for_log(self, event: str, **fields: Any) -> None:
-        """Wait until a line of this event with these values has come."""
+        """Wait for a log line of an event whose fields have these values."""
 
         def is_logged() -> bool:
             if self.popen.poll() is not None and not self.logged(event, **fields):
                 self._reader.join(WAIT_TIMEOUT_S)
                 if not self.logged(event, **fields):
                     code = self.popen.returncode
-                    raise AssertionError(f"ended with {code}, no {event!r}: {self.log_lines}")
+                    raise AssertionError(
+                        f"front end exited with {code} without logging {event!r} {fields}; "
+                        f"log: {self.log_lines}"
+                    )
             return bool(self.logged(event, **fields))
 
-        wait_until(is_logged, f"{event} {fields}; log: {self.log_lines[-5:]}")
+        wait_until(is_logged, f"log event {event!r} {fields}; log: {self.log_lines[-5:]}")
 
     def admin_request(self, line: str, timeout_s: float = WAIT_TIMEOUT_S) -> str:
-        """Send one line to the admin address; returns the answer."""
+        """Send a command line to the admin interface and return the answer."""
         with socket.create_connection(self.admin_address, timeout=timeout_s) as sock:
             sock.sendall(line.encode() + b"\n")
             received = b""
@@ -258,17 +266,20 @@
         return received.decode().strip()
 
     def wait_until_ready(self) -> FrontEndProcess:
-        """Wait until STATUS is answered with ok; returns this process."""
+        """Wait until the admin command STATUS answers ok, and return this process."""
 
         def is_ready() -> bool:
             if self.popen.poll() is not None:
-                raise AssertionError(f"ended with {self.popen.returncode}: {self.log_lines}")
+                raise AssertionError(
+                    f"front end exited with {self.popen.returncode} before it was ready; "
+                    f"log: {self.log_lines}"
+                )
             try:
                 return self.admin_request("STATUS").startswith("ok")
             except OSError:
                 return False
 
-        wait_until(is_ready, "a yes to STATUS")
+        wait_until(is_ready, "an ok answer to the admin command STATUS")
         return self
 
     def signal(self, number: signal.Signals) -> None:
@@ -276,13 +287,13 @@
         self.popen.send_signal(number)
 
     def wait_until_ended(self) -> int:
-        """Wait for the end of the process; returns its exit code."""
+        """Wait until the process exits, and return its exit code."""
         code = self.popen.wait(WAIT_TIMEOUT_S)
         self._reader.join(WAIT_TIMEOUT_S)
         return code
 
     def close(self) -> None:
-        """Kill the process if it runs, and free what belongs to it here."""
+        """Kill the process if it is running, and release its log pipe and reserved port."""
         if self.popen.poll() is None:
             self.popen.kill()
         self.wait_until_ended()
--- a/tests/membership/test_front_end_processes.py
+++ b/tests/membership/test_front_end_processes.py
@@ -213,7 +213,9 @@
         assert reply is not None
         assert reply.kind == "answer"
         fleet.kill(1)
-        wait_until(lambda: fleet.all_see_state(1, "dead", but=(1,)), "all members to see member 1 as dead")
+        wait_until(
+            lambda: fleet.all_see_state(1, "dead", excluded=(1,)), "all members to see member 1 as dead"
+        )
         fleet.start(1)
         wait_until(
             lambda: all(
--- a/tests/membership/test_simulated_tiers.py
+++ b/tests/membership/test_simulated_tiers.py
@@ -28,7 +28,7 @@
         12, 70, Fault(at_s=5, action="cut", targets=[2], destinations=[7], bidirectional=False)
     )
     assert not outcome.false_positive_times
-    assert outcome.agreed_at < 1.0
+    assert outcome.convergence_time < 1.0
 
 
 def test_member_without_incoming_messages_declares_no_member_dead() -> None:
@@ -44,8 +44,8 @@
     outcome = simulate(
         12, 40, Fault(at_s=10, action="stop", targets=[4]), Fault(at_s=13, action="continue", targets=[4])
     )
-    assert outcome.longest_false_positive_after <= 2.0
-    assert outcome.agreed_at <= 8.0
+    assert outcome.longest_false_positive_after_fault <= 2.0
+    assert outcome.convergence_time <= 8.0
     assert min(lowest for at, _, lowest, _ in outcome.counts if at > 20) == 12
 
 
@@ -60,7 +60,7 @@
 def test_member_restarted_with_its_clock_set_back_is_alive_again() -> None:
     restart = Fault(at_s=10.05, action="start", targets=[4], clock_offset_s=-86400.0)
     outcome = simulate(12, 30, Fault(at_s=10, action="kill", targets=[4]), restart)
-    assert outcome.agreed_at <= 10.0
+    assert outcome.convergence_time <= 10.0
     assert outcome.counts[-1][1:] == (12, 12, 12)
 
 
@@ -74,7 +74,7 @@
         Fault(at_s=13, action="leave", targets=[9]),
         Fault(at_s=20, action="heal"),
     )
-    assert outcome.agreed_at <= 5.0
+    assert outcome.convergence_time <= 5.0
     assert outcome.counts[-1][1:] == (10, 10, 10)
 
 
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -48,7 +48,7 @@
 
 def hold_load(test_bed: ProcessTestBed) -> tuple[ThriftClient, int]:
     """Send a load that stays pending at a warehouse; returns its client and sequence number."""
-    test_bed.hold()
+    test_bed.suspend_answers()
     client = ThriftClient(test_bed.address)
     load = client.send_request(1, "load")
     wait_until(test_bed.received, "the load at a warehouse")
@@ -75,7 +75,7 @@
     test_bed: ProcessTestBed,
 ) -> None:
     old = test_bed.start().wait_until_ready()
-    test_bed.hold()
+    test_bed.suspend_answers()
     client = ThriftClient(test_bed.address)
     # Only loads are sent: a lookup that waits while a process starts may be retried and then rejected.
     loads = [client.send_request(1, "load"), client.send_request(2, "load")]
@@ -86,7 +86,7 @@
     new = start_successor(test_bed, old)
     old.signal(signal.SIGTERM)
     new.wait_for_log("process state received", stage="leaving")
-    test_bed.release()
+    test_bed.resume_answers()
     assert all(client.is_served(load) for load in loads)
     assert old.wait_until_ended() == 0
     client.wait_until_served()  # the connection has been transferred
@@ -110,7 +110,7 @@
     new = start_successor(test_bed, old)
     # Sent after the new process is ready: a partial message times out after 2.6 s, and starting a process may
     # take that long.
-    lookup = client.send_partial_request(2, cut=40)
+    lookup = client.send_partial_request(2, byte_limit=40)
     old.signal(signal.SIGTERM)
     new.wait_for_log("client connections adopted", count=1)
     client.sock.sendall(client.unsent)
@@ -124,7 +124,7 @@
     reply = client.wait_for_reply(load)  # not retried, since it may have run
     assert reply is not None
     assert reply.kind == "fault"
-    test_bed.release()
+    test_bed.resume_answers()
     assert client.is_served(lookup)
     assert not client.duplicates
 
@@ -204,7 +204,7 @@
     second.signal(signal.SIGTERM)
     wait_until(lambda: len(third.logged("process state received", stage="leaving")) > 1, "both to shut down")
     # The connection was transferred twice, and the answer is passed on twice in the same way.
-    test_bed.release()
+    test_bed.resume_answers()
     assert client.is_served(load)
     assert first.wait_until_ended() == second.wait_until_ended() == 0
     client.wait_until_served()
@@ -222,7 +222,7 @@
     assert old.admin_request("PAUSE").startswith("ok")
     wait_until(lambda: new.admin_request("STATUS") == "fail paused", "the pause at the new process")
     assert not ThriftClient(test_bed.address).ping()
-    test_bed.release()
+    test_bed.resume_answers()
     assert client.is_served(load)
     assert old.wait_until_ended() == 0
     client.wait_until_closed()  # the pause also drains transferred connections
--- a/tests/operations/test_processes.py
+++ b/tests/operations/test_processes.py
@@ -19,7 +19,7 @@
     busy = ThriftClient(test_bed.address)
     assert idle.ping()
     busy.wait_until_served()
-    test_bed.hold()
+    test_bed.suspend_answers()
     load = busy.send_request(2, "load")
     wait_until(lambda: b"%016x" % 2 in test_bed.received(), "the load at a warehouse")
     assert process.admin_request("PAUSE").startswith("ok")
@@ -27,7 +27,7 @@
     assert not ThriftClient(test_bed.address).ping()
     assert process.admin_request("STATUS") == "fail paused"
     idle.wait_until_closed()
-    test_bed.release()
+    test_bed.resume_answers()
     assert busy.is_served(load)  # the request in flight finishes before the connection is closed
     busy.wait_until_closed()
     new_client = ThriftClient(test_bed.address)
@@ -70,7 +70,7 @@
 ) -> None:
     used_address = "{}:{}".format(*test_bed.address)
     variables = {key: value.format(used_address=used_address) for key, value in environment.items()}
-    process = test_bed.start(passed=False, **{"PROXY_LISTEN": "127.0.0.1:0", **variables})
+    process = test_bed.start(inherit_socket=False, **{"PROXY_LISTEN": "127.0.0.1:0", **variables})
     assert process.wait_until_ended() == 2
     assert len(process.log_lines) == 1
     event = process.log_lines[0]["event"]
--- a/tests/recovery/test_blackout.py
+++ b/tests/recovery/test_blackout.py
@@ -268,7 +268,7 @@
     warehouses = list(fleet.services.warehouses.values())
     wait_until_open(fleet, 0)
     for warehouse in warehouses:
-        warehouse.holding = True
+        warehouse.answers_suspended = True
     client = ThriftClient(fleet.test_beds[0].address)
     client.send_request(7, "load")
     wait_until(lambda: all_received(warehouses), "the load at a warehouse")
@@ -277,7 +277,7 @@
 
     def release_all() -> None:
         for warehouse in warehouses:
-            warehouse.release()
+            warehouse.resume_answers()
 
     fleet.services.call(release_all)
     start_all(fleet, 0, 1)
@@ -425,7 +425,7 @@
             except OSError:  # more clients than sockets
                 continue
         for client, seq in clients:
-            reply = client.wait_for_reply(seq, must=False)
+            reply = client.wait_for_reply(seq, required=False)
             rejected_with_retry_after += (
                 reply is not None and reply.kind == "shed" and b"pushback" in reply.fields
             )
