--- a/lilacfront/lab/fleet.py
+++ b/lilacfront/lab/fleet.py
@@ -152,7 +152,7 @@
         return "no answer" if view is None else view[member]
 
     def all_see_state(self, member: int, state: str, excluded: tuple[int, ...] = ()) -> bool:
-        """Whether a member has this state in the views of all running front ends, except the excluded ones."""
+        """Whether a member has this state in the views of all running, not excluded front ends."""
         return all(
             self.state_seen_by(viewer, member) == state
             for viewer in range(self.script.members)
--- a/lilacfront/lab/score.py
+++ b/lilacfront/lab/score.py
@@ -6,9 +6,8 @@
 from collections.abc import Callable, Mapping, Set
 from dataclasses import dataclass, field
 
-IsPartitioned = Callable[
-    [int, int], bool
-]  # whether two members are cut off from each other, in both directions
+# Whether two members are cut off from each other in both directions.
+IsPartitioned = Callable[[int, int], bool]
 
 
 @dataclass(slots=True)
@@ -21,8 +20,8 @@
         false_positive_times: How long a live member was seen as dead, for each viewer and occurrence.
         longest_false_positive_after_fault: Longest part of a false positive after both members were last
             started, resumed or reconnected.
-        counts: At each observation: the time, the number of live members, and the minimum and maximum number
-            of live members over all views.
+        live_counts: For each observation, its time, the number of live members, and the minimum and maximum
+            number of live members over all views.
         max_bytes_per_s: Send rate of the member that sent the most.
         mean_bytes_per_s: Mean send rate of all members.
         messages: Number of messages sent.
@@ -33,7 +32,7 @@
     undetected: int = 0
     false_positive_times: list[float] = field(default_factory=list)
     longest_false_positive_after_fault: float = 0.0
-    counts: list[tuple[float, int, int, int]] = field(default_factory=list)
+    live_counts: list[tuple[float, int, int, int]] = field(default_factory=list)
     max_bytes_per_s: float = 0.0
     mean_bytes_per_s: float = 0.0
     messages: int = 0
@@ -111,7 +110,7 @@
         ]
         if views:
             counted = [self.members - len(view) for view in views.values()]
-            self.outcome.counts.append((now, live, min(counted), max(counted)))
+            self.outcome.live_counts.append((now, live, min(counted), max(counted)))
         if not all(agreements):
             self.outcome.convergence_time = math.nan
         elif now >= self.last_fault_at and math.isnan(self.outcome.convergence_time):
--- a/tests/membership/test_simulated_tiers.py
+++ b/tests/membership/test_simulated_tiers.py
@@ -46,14 +46,14 @@
     )
     assert outcome.longest_false_positive_after_fault <= 2.0
     assert outcome.convergence_time <= 8.0
-    assert min(lowest for at, _, lowest, _ in outcome.counts if at > 20) == 12
+    assert min(lowest for at, _, lowest, _ in outcome.live_counts if at > 20) == 12
 
 
 def test_simultaneous_crash_of_70_percent_is_detected_within_5_s() -> None:
     outcome = simulate(100, 16, Fault(at_s=10, action="kill", target_fraction=0.7))
     assert not outcome.undetected
     assert not outcome.false_positive_times
-    live, highest = next((live, highest) for at, live, _, highest in outcome.counts if at >= 15)
+    live, highest = next((live, highest) for at, live, _, highest in outcome.live_counts if at >= 15)
     assert highest <= 1.1 * live
 
 
@@ -61,7 +61,7 @@
     restart = Fault(at_s=10.05, action="start", targets=[4], clock_offset_s=-86400.0)
     outcome = simulate(12, 30, Fault(at_s=10, action="kill", targets=[4]), restart)
     assert outcome.convergence_time <= 10.0
-    assert outcome.counts[-1][1:] == (12, 12, 12)
+    assert outcome.live_counts[-1][1:] == (12, 12, 12)
 
 
 def test_halves_of_a_partition_merge_after_changes_on_both_sides() -> None:
@@ -75,7 +75,7 @@
         Fault(at_s=20, action="heal"),
     )
     assert outcome.convergence_time <= 5.0
-    assert outcome.counts[-1][1:] == (10, 10, 10)
+    assert outcome.live_counts[-1][1:] == (10, 10, 10)
 
 
 @pytest.mark.parametrize("lie", ["all dead", "dead live"])
@@ -85,7 +85,7 @@
     )
     assert not outcome.undetected
     assert all(duration_s < 1.0 for duration_s in outcome.false_positive_times)
-    assert outcome.counts[-1][1] == outcome.counts[-1][2] == outcome.counts[-1][3] == 11
+    assert outcome.live_counts[-1][1] == outcome.live_counts[-1][2] == outcome.live_counts[-1][3] == 11
 
 
 def test_largest_tier_stays_within_the_rate_limit() -> None:
