--- a/lilacfront/lab/baseline_detectors.py
+++ b/lilacfront/lab/baseline_detectors.py
@@ -1,5 +1,6 @@
-"""Baseline failure detectors to compare with the program's own, on the same scripts and without a rate limit.
+"""Baseline failure detectors to compare with the program's own on the same scripts.
 
+Unlike the program's detector, the detector classes of this module do not limit their sending rate.
 The size of each message is that on the wire: a header and the entries, at most 256 bytes.
 """
 
@@ -20,7 +21,7 @@
 ENTRY = struct.Struct(">HI")  # member, counter
 MAX_ENTRIES = (MAX_DATAGRAM_BYTES - HEADER.size) // ENTRY.size
 COUNTERS_PER_S = 10  # counters follow the time, so a restart begins above the previous counters
-MIN_PROBABILITY = 1e-300
+MIN_PROBABILITY = 1e-300  # avoids the logarithm of 0
 
 
 class HeartbeatDetector:
--- a/lilacfront/lab/blackout_cli.py
+++ b/lilacfront/lab/blackout_cli.py
@@ -1,4 +1,4 @@
-"""`lilacfront lab blackout`: power losses of real front ends by a script, with a table of their recovery."""
+"""`lilacfront lab blackout`: runs scripts with power losses on real front ends and prints their recovery."""
 
 from __future__ import annotations
 
--- a/lilacfront/lab/crash_points.py
+++ b/lilacfront/lab/crash_points.py
@@ -33,8 +33,8 @@
 from lilacfront.recovery.store import Store
 
 log = Log(__name__)
-CHUNK_BYTES = 24  # bytes that each write step writes
-NAME, SITE = "n0", "here"
+CHUNK_BYTES = 24  # maximum number of bytes of a write step
+NAME, SITE = "n0", "here"  # of the front end that owns the store
 
 
 class SimulatedCrash(BaseException):
--- a/lilacfront/lab/explore.py
+++ b/lilacfront/lab/explore.py
@@ -143,7 +143,7 @@
 
     def _observe(self) -> None:
         super()._observe()
-        for host in self._running():
+        for host in self._scored_hosts():
             self._check_incarnations(host)
 
     def _check_incarnations(self, host: Host) -> None:
@@ -158,7 +158,7 @@
     def _final_violation(self) -> str:
         dead = {host.number for host in self.hosts if host.member is None}
         views = {}
-        for host in self._running():
+        for host in self._scored_hosts():
             assert isinstance(host.member, DetectorMember)
             views[host.number] = host.member.failed_members()
         for viewer, failed in views.items():
--- a/lilacfront/lab/fault_model.py
+++ b/lilacfront/lab/fault_model.py
@@ -106,7 +106,7 @@
 
 
 class FaultFractions(msgspec.Struct, forbid_unknown_fields=True):
-    """Fractions of the requests that are not served. The field order is that of `ActionSequence`."""
+    """Fractions of the requests that are not served. `ActionSequence` relies on the field order."""
 
     reject: Fraction = msgspec.field(default=0.0, name="refuse")
     error: Fraction = 0.0
--- a/lilacfront/lab/fault_script.py
+++ b/lilacfront/lab/fault_script.py
@@ -35,6 +35,7 @@
     "log",
 ]
 FaultMode = Literal["", "cut", "flip", "swap", "old", "remove", "away", "back", "anew"]
+# "all dead" reports all other members as dead, "dead live" reports dead members as alive.
 FalseReport = Literal["all dead", "dead live"]
 
 WAREHOUSE_ACTIONS: tuple[FaultAction, ...] = ("shut", "open", "hold", "serve")
@@ -60,7 +61,8 @@
         destinations: For `cut`: the members that the targets can't reach; empty: all others.
         bidirectional: For `cut`: whether the destinations can't reach the targets either.
         clock_offset_s: For `start`: offset of the member's wall clock, in seconds.
-        lie: For `lie`: the false updates that the members send.
+        lie: For `lie`: the false updates that the members send: all others are dead (`all dead`), or dead
+            members are alive (`dead live`).
     """
 
     at_s: float = msgspec.field(name="at")
--- a/lilacfront/lab/members.py
+++ b/lilacfront/lab/members.py
@@ -1,4 +1,4 @@
-"""Discrete-event simulation of failure detection among 3 to 1,024 front ends, by a script and a seed.
+"""Discrete-event simulation of failure detection among front ends, by a script and a seed.
 
 The failure detector is the program's own or a baseline. The network is a model with loss, delay, duplicates
 and partitions, also in one direction only. Members may pause, die, restart, leave or send false updates. The
@@ -50,7 +50,7 @@
         ...
 
     def leave(self, now: float) -> list[OutgoingDatagram]:
-        """Return the datagrams that announce the leave of this member."""
+        """Return the datagrams that announce the departure of this member."""
         ...
 
     def failed_members(self) -> set[int]:
@@ -91,7 +91,7 @@
         return self.detector.receive(now, sender, data)
 
     def leave(self, now: float) -> list[OutgoingDatagram]:
-        """Return the datagrams that announce the leave of this member."""
+        """Return the datagrams that announce the departure of this member."""
         return self.detector.leave(now)
 
     def failed_members(self) -> set[int]:
@@ -275,14 +275,14 @@
     def _unpaused(self) -> list[Host]:
         return [host for host in self.hosts if host.member is not None and not host.paused]
 
-    def _running(self) -> list[Host]:
-        """The hosts whose views are scored."""
+    def _scored_hosts(self) -> list[Host]:
+        """The running hosts whose views are scored: all that do not send false updates."""
         return [host for host in self._unpaused() if not host.lie]
 
     def _observe(self) -> None:
         self.schedule(self.now + OBSERVE_INTERVAL_S, self._observe)
         views = {}
-        for host in self._running():
+        for host in self._scored_hosts():
             assert host.member is not None
             views[host.number] = host.member.failed_members()
         paused = {host.number for host in self.hosts if host.paused}
@@ -290,7 +290,7 @@
         self.score.observe(self.now, views, paused, self._network.is_partitioned, live_count)
 
     def _finish(self) -> Outcome:
-        running = {host.number for host in self._running()}
+        running = {host.number for host in self._scored_hosts()}
         for host in self.hosts:
             self._count_sent_bytes(host)
         rates = {member: sent / self.script.duration_s for member, sent in self._sent_bytes.items()}
--- a/lilacfront/lab/recovery_cli.py
+++ b/lilacfront/lab/recovery_cli.py
@@ -55,7 +55,10 @@
     "--directory", type=click.Path(exists=True, file_okay=False), help="Directory on the disk to measure."
 )
 def stores(engines: int, per_s: int, seconds: float, plays: int, directory: str | None) -> None:
-    """Measure storage backends for endpoint changes in a Markdown table. Each play runs in a new process."""
+    """Measure storage backends for endpoint changes and print a Markdown table.
+
+    Each backend is measured --plays times, each time in a new process.
+    """
     click.echo("| | processors | longest turn, ms | 99.9th percentile turn, ms | written, KB/s | files, KB |")
     click.echo("| --- | --- | --- | --- | --- | --- |")
     for backend_name in BACKENDS:
--- a/lilacfront/lab/recovery_scenario.py
+++ b/lilacfront/lab/recovery_scenario.py
@@ -115,7 +115,8 @@
     """The result of a simulation.
 
     Attributes:
-        recovered_s: Time when 90% of the normal weight per second is served again; NaN: never.
+        recovered_s: Start of the first 3 s window in which on average 90% of the normal weight per second is
+            served again; NaN: never.
         first_read_s: Time when the first lookup is served; NaN: never.
         lost_fraction: Weight of the requests that failed or were given up, as a fraction of the weight of
             all requests.
--- a/lilacfront/lab/recovery_simulation.py
+++ b/lilacfront/lab/recovery_simulation.py
@@ -49,7 +49,7 @@
     admission_stages,
 )
 
-RETRY_INTERVAL_S: Final = 0.25  # if there is no Retry-After time or the client ignores it
+RETRY_INTERVAL_S: Final = 0.25  # of clients without a Retry-After time, or that ignore it
 CLIENT_TIMEOUT_S: Final = 30.0
 TICK_S: Final = 0.05  # interval between updates of warm-up, startup stages and fleet size
 FAILURE_DETECTION_S: Final = 5.0  # time until membership detects the front ends that do not restart
@@ -109,7 +109,7 @@
         self._fleet = fleet
         if strategy.staged:
             recovery = RecoverySettings(
-                directory="x",
+                directory="x",  # no files are written
                 short_reads_stage_s=loss.short_reads_stage_s,
                 idempotent_stage_s=loss.idempotent_stage_s,
             )
@@ -324,7 +324,10 @@
 
     # ---- front ends -----------------------------------------------------------------------------------
     def _start_gateway(self, gateway: SimulatedGateway) -> None:
-        """Load the list from before the power loss, all of it cold if staged; then apply later reports."""
+        """Load the endpoint list from before the power loss, then apply the starts reported since.
+
+        In a staged strategy, all warehouses of the loaded list are treated as just started, thus cold.
+        """
         listed_start_s = self._events.now if self.strategy.staged else PRE_LOSS_START_S
         warehouses = self._fleet.warehouses
         entries = tuple(
--- a/lilacfront/lab/recovery_simulation_cli.py
+++ b/lilacfront/lab/recovery_simulation_cli.py
@@ -54,7 +54,7 @@
 
 
 def plot(results: Results, title: str, out: Path) -> None:
-    """Plot the weight served in each second: the median and the range of 90% of the seeds."""
+    """Plot the weight served in each second: the median and the range of the middle 90% of the seeds."""
     import numpy as np
     from matplotlib.figure import Figure
 
--- a/lilacfront/lab/recovery_warehouses.py
+++ b/lilacfront/lab/recovery_warehouses.py
@@ -46,7 +46,7 @@
         """The fraction of its cores that is usable at a time during the warm-up."""
         return warm_up_curve(COLD_CAPACITY_FRACTION, WARM_UP_S, self.started_at)(now)
 
-    def overloaded(self, now: float, thread_seconds: float) -> bool:
+    def record_attempt(self, now: float, thread_seconds: float) -> bool:
         """Add an attempt to the recent work and return whether the warehouse is overloaded."""
         self.recent_work.append((now, thread_seconds))
         while self.recent_work[0][0] < now - OVERLOAD_WINDOW_S:
@@ -64,7 +64,7 @@
         ...
 
     def endpoint_changed(self, index: int, state: EndpointState) -> None:
-        """Handle a change that discovery reports of a warehouse."""
+        """Handle the report of discovery that the state of a warehouse changed."""
         ...
 
 
@@ -106,7 +106,7 @@
             return
         warehouse.engine.advance(now)
         warehouse.engine.start_execution(number, threads, seconds)
-        if warehouse.overloaded(now, threads * seconds):
+        if warehouse.record_attempt(now, threads * seconds):
             self._events.schedule(now, partial(self._fail_if_up, index))
         self._schedule_completion(index)
 
--- a/lilacfront/lab/store_costs.py
+++ b/lilacfront/lab/store_costs.py
@@ -24,7 +24,7 @@
 from lilacfront.recovery.store import Store
 
 PAUSE_S: Final = 0.005  # pause between two turns of the loop
-WRITE_WINDOW_S: Final = 0.1
+WRITE_WINDOW_S: Final = 0.1  # time between two batches
 MAX_JOURNAL_BYTES: Final = 8 << 20
 RESTORE_TIMEOUT_S: Final = 10.0
 SETTLE_S: Final = 0.3  # time for the initial writes before the measurement
@@ -157,10 +157,12 @@
     size_bytes: int
 
 
-def _entry(number: int, turn: int) -> EndpointEntry:
-    lifecycle = "draining" if turn % 2 else "ready"
+def _entry(number: int, change_round: int) -> EndpointEntry:
+    lifecycle = "draining" if change_round % 2 else "ready"
     address = f"10.1.{number >> 8}.{number & 255}:7001"
-    return EndpointEntry(f"warehouse-{number:05}", address, lifecycle, "hall-a", "c12", 0, 1.0, float(turn))
+    return EndpointEntry(
+        f"warehouse-{number:05}", address, lifecycle, "hall-a", "c12", 0, 1.0, float(change_round)
+    )
 
 
 def _run_loop(backend: Backend, warehouses: int, changes_per_s: int, seconds: float) -> list[float]:
--- a/tests/lab/test_fault_model.py
+++ b/tests/lab/test_fault_model.py
@@ -14,7 +14,7 @@
         "shares = { reset = 0.6, cut = 0.6 }",
         "stalls = [{ at_s = 1, seconds = 2 }, { at_s = 2, seconds = 2 }]",
         'delay = { shape = "schedule", points = [[5, 1], [1, 1]] }',
-        "dealy = 1",
+        "dealy = 1",  # a misspelled key
     ],
 )
 def test_invalid_behaviour_is_rejected(text: str) -> None:
--- a/tests/lab/test_log_summary.py
+++ b/tests/lab/test_log_summary.py
@@ -18,7 +18,7 @@
 def test_answers_and_attempts_are_counted(tmp_path: Path) -> None:
     (tmp_path / "n0.log").write_text(
         "1.0 " + LOGGER + "request received request=1 call_id=ab class_index=0 at=10.0 deadline=14.0\n"
-        "cut sho\n"
+        "cut sho\n"  # an incomplete line
         + ATTEMPT.format(1, 10.0, 12.0, '"timed out"')
         + ATTEMPT.format(2, 11.0, 11.5, "completed")
         + "2.0 "
