--- a/tests/lab/test_log_summary.py
+++ b/tests/lab/test_log_summary.py
@@ -17,19 +17,12 @@
 
 def test_summary_counts_answers_and_attempts(tmp_path: Path) -> None:
     (tmp_path / "n0.log").write_text(
-<<<<<<< HEAD
         "1.0 "
         + LEVEL_AND_LOGGER
         + "request received request=1 call_id=ab class_index=0 at=10.0 deadline=14.0\n"
         "truncated li\n"
         + ATTEMPT_LINE.format(1, 10.0, 12.0, '"timed out"')
         + ATTEMPT_LINE.format(2, 11.0, 11.5, "completed")
-=======
-        "1.0 " + LOGGER + "request received request=1 call_id=ab class_index=0 at=10.0 deadline=14.0\n"
-        "cut sho\n"  # an incomplete line
-        + ATTEMPT.format(1, 10.0, 12.0, '"timed out"')
-        + ATTEMPT.format(2, 11.0, 11.5, "completed")
->>>>>>> readlab
         + "2.0 "
         + LEVEL_AND_LOGGER
         + "request answered request=1 class_index=0 at=12.0 answer=Rejected(250)\n"
